--- a/core/src/main/kotlin/io/sequoiawheel/core/admission/FairQueue.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/admission/FairQueue.kt
@@ -1,7 +1,7 @@
 /*
  * Start-time fair queueing over workspaces. A workspace is charged the estimated tokens of a request when the request
- * leaves the queue, and the difference to the actual tokens when it ends, so a workspace gains nothing by many small
- * or few large requests or by wrong estimates.
+ * leaves the queue, and the difference to the actual tokens when it ends, so neither the size and number of requests
+ * nor wrong estimates give a workspace an advantage.
  */
 package io.sequoiawheel.core.admission
 
@@ -13,7 +13,7 @@
 
 /**
  * The queue of one service at one entry instance. Thread-safe. A request that cannot be served in time is rejected when
- * it is offered, with the time after which to try again.
+ * it is offered, with the delay after which to retry.
  */
 class FairQueue<T : Any>(
     private val limits: QueueLimits,
@@ -28,61 +28,63 @@
     /** Requests in the queue. */
     val queued: Int @Synchronized get() = size
 
-    /** Workspaces that the queue remembers. */
+    /** Workspaces that the queue keeps state for. */
     val workspaces: Int @Synchronized get() = flows.size
 
-    /** Queues [request], or rejects it if the bounds or its deadline cannot be kept. */
+    /** Queues [request], or rejects it if a limit or its deadline would be exceeded. */
     @Synchronized
     fun offer(
         request: QueuedRequest<T>,
         nowMillis: Long,
-    ): Offer<T> {
+    ): OfferResult<T> {
         val flow = flows.getOrPut(request.workspace) { Flow(request.workspace) }
         flow.weight = request.weight
-        val failure = rejectionOf(request, flow, nowMillis)
+        val failure = findRejection(request, flow, nowMillis)
         if (failure != null) {
-            forgetIdle()
-            return Offer.Rejected(failure)
+            evictIdleFlows()
+            return OfferResult.Rejected(failure)
         }
-        val displaced = if (size >= limits.maximumRequests) displaceFor(flow) else null
-        if (size >= limits.maximumRequests) return Offer.Rejected(queueFull(nowMillis))
-        request.expiresAtMillis = bound(request, nowMillis)
+        val displaced = if (size >= limits.maximumRequests) displaceForNewcomer(flow) else null
+        if (size >= limits.maximumRequests) return OfferResult.Rejected(queueFull(nowMillis))
+        request.expiresAtMillis = expiryMillis(request, nowMillis)
         request.arrival = arrivals++
         append(flow, request)
-        return Offer.Queued(displaced, displaced?.let { queueFull(nowMillis) })
+        return OfferResult.Queued(displaced, displaced?.let { queueFull(nowMillis) })
     }
 
-    /** Takes the next request in fair order, or returns null if the queue is empty. */
+    /** Removes and returns the next request in fair order, or returns null if the queue is empty. */
     @Synchronized
     fun poll(nowMillis: Long): QueuedRequest<T>? {
         val flow = nextFlow() ?: return null
         val request = flow.requests.removeFirst()
-        virtualTime = flow.start(virtualTime)
-        flow.finish = virtualTime + request.costTokens.toDouble() / request.weight
+        virtualTime = flow.startTag(virtualTime)
+        flow.finishTag = virtualTime + request.costTokens.toDouble() / request.weight
         unlink(flow, request)
         drainRate.add(request.costTokens, nowMillis)
-        forgetIdle()
+        evictIdleFlows()
         return request
     }
 
-    /** Returns the request that [poll] would take, without taking it. */
+    /** Returns the request that [poll] would return, without removing it. */
     @Synchronized
     fun peek(): QueuedRequest<T>? = nextFlow()?.requests?.first()
 
-    /** Puts a polled request back to the head of its workspace because no replica took it, and undoes its charge. */
+    /**
+     * Returns a polled request that no replica accepted to the head of its workspace's queue and reverts its charge.
+     */
     @Synchronized
     fun restore(
         request: QueuedRequest<T>,
         nowMillis: Long,
     ) {
         val flow = flows.getOrPut(request.workspace) { Flow(request.workspace) }
-        flow.finish -= request.costTokens.toDouble() / request.weight
+        flow.finishTag -= request.costTokens.toDouble() / request.weight
         flow.requests.addFirst(request)
         link(flow, request)
         drainRate.add(-request.costTokens, nowMillis)
     }
 
-    /** Removes the requests whose time in the queue has passed. */
+    /** Removes and returns the requests that have expired. */
     @Synchronized
     fun expire(nowMillis: Long): List<QueuedRequest<T>> {
         val expired = backlogged.flatMap { flow -> flow.requests.filter { it.expiresAtMillis <= nowMillis } }
@@ -90,7 +92,7 @@
         return expired
     }
 
-    /** Removes a request whose caller has left; returns false if it is not queued. */
+    /** Removes a request whose caller has disconnected; returns false if it is not queued. */
     @Synchronized
     fun remove(request: QueuedRequest<T>): Boolean = removeQueued(request)
 
@@ -106,11 +108,11 @@
         val flow = flows[workspace]
         if (flow == null && difference <= 0) return
         val charged = flow ?: Flow<T>(workspace).also { flows[workspace] = it }
-        charged.finish = maxOf(charged.finish, virtualTime) + difference
-        forgetIdle()
+        charged.finishTag = maxOf(charged.finishTag, virtualTime) + difference
+        evictIdleFlows()
     }
 
-    /** Returns how long a request of [workspace] with [costTokens] would wait, or null if that is not known yet. */
+    /** Returns the predicted wait of a request of [workspace] with [costTokens], or null if no rate is known yet. */
     @Synchronized
     fun predictedWaitMillis(
         workspace: WorkspaceName,
@@ -135,11 +137,11 @@
         return (ahead / rate).toLong()
     }
 
-    /** Equal start tags are common after idle times; the earlier arrival goes first then. */
+    /** Ties between start tags, common after idle periods, go to the earlier arrival. */
     private fun nextFlow(): Flow<T>? =
-        backlogged.minWithOrNull(compareBy({ it.start(virtualTime) }, { it.requests.first().arrival }))
+        backlogged.minWithOrNull(compareBy({ it.startTag(virtualTime) }, { it.requests.first().arrival }))
 
-    private fun rejectionOf(
+    private fun findRejection(
         request: QueuedRequest<T>,
         flow: Flow<T>,
         nowMillis: Long,
@@ -148,20 +150,22 @@
         if (flow.requests.size >= limits.maximumRequestsPerWorkspace) {
             return Failure(ResultCode.QUEUE_FULL, retryAfterMillis = wait ?: limits.maximumWaitMillis)
         }
-        val allowed = bound(request, nowMillis) - nowMillis
+        val allowed = expiryMillis(request, nowMillis) - nowMillis
         if (wait == null || wait <= allowed) return null
         val isDeadline = allowed < limits.maximumWaitMillis
         val code = if (isDeadline) ResultCode.DEADLINE_BEFORE_DISPATCH else ResultCode.QUEUE_TIMEOUT
         return Failure(code, retryAfterMillis = wait - allowed)
     }
 
-    private fun bound(
+    private fun expiryMillis(
         request: QueuedRequest<T>,
         nowMillis: Long,
     ): Long = minOf(request.deadlineMillis ?: Long.MAX_VALUE, nowMillis + limits.maximumWaitMillis)
 
-    /** Takes the newest request of the longest queue, unless that queue is the newcomer's own or no longer than it. */
-    private fun displaceFor(newcomer: Flow<T>): QueuedRequest<T>? {
+    /**
+     * Removes the newest request of the longest queue, unless that is the newcomer's or would not stay longer than it.
+     */
+    private fun displaceForNewcomer(newcomer: Flow<T>): QueuedRequest<T>? {
         val longest = backlogged.maxByOrNull { it.requests.size } ?: return null
         if (longest === newcomer || longest.requests.size <= newcomer.requests.size + 1) return null
         val displaced = longest.requests.removeLast()
@@ -180,7 +184,7 @@
         val flow = flows[request.workspace] ?: return false
         if (!flow.requests.removeIf { it === request }) return false
         unlink(flow, request)
-        forgetIdle()
+        evictIdleFlows()
         return true
     }
 
@@ -210,13 +214,13 @@
         size--
     }
 
-    /** Forgets idle workspaces that owe nothing, and beyond the bound those that owe least. */
-    private fun forgetIdle() {
+    /** Evicts idle workspaces without outstanding charge, and above the limit those with the lowest finish tags. */
+    private fun evictIdleFlows() {
         if (flows.size - backlogged.size <= limits.maximumWorkspaces) return
-        flows.values.removeIf { it.requests.isEmpty() && it.finish <= virtualTime }
+        flows.values.removeIf { it.requests.isEmpty() && it.finishTag <= virtualTime }
         val idle = flows.values.filter { it.requests.isEmpty() }
         val excess = idle.size - limits.maximumWorkspaces
         if (excess <= 0) return
-        idle.sortedBy { it.finish }.take(excess).forEach { flows.remove(it.workspace) }
+        idle.sortedBy { it.finishTag }.take(excess).forEach { flows.remove(it.workspace) }
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/admission/GenerationForecast.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/admission/GenerationForecast.kt
@@ -1,11 +1,11 @@
 package io.sequoiawheel.core.admission
 
 /**
- * One generation whose end is uncertain.
+ * The predicted memory use of one generation whose output length is uncertain.
  *
  * @property heldTokens prompt and produced tokens
- * @property remainingTokens tokens that are still to come, at evenly spaced quantiles; the same number of quantiles for
- *   all generations of a replica
+ * @property remainingTokens remaining output tokens at evenly spaced quantiles; all generations of a replica have the
+ *   same number of quantiles
  */
 data class GenerationForecast(
     val heldTokens: Int,
--- a/core/src/main/kotlin/io/sequoiawheel/core/admission/LengthKey.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/admission/LengthKey.kt
@@ -3,7 +3,7 @@
 import io.sequoiawheel.core.model.ServiceName
 import io.sequoiawheel.core.model.WorkspaceName
 
-/** What output lengths are learned for. [kind] is the caller's own word, or the model's name if there is none. */
+/** The key of a length history. [kind] is the request kind given by the caller, or the model name if there is none. */
 data class LengthKey(
     val service: ServiceName,
     val workspace: WorkspaceName,
--- a/core/src/main/kotlin/io/sequoiawheel/core/admission/MemoryPredictor.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/admission/MemoryPredictor.kt
@@ -1,13 +1,13 @@
 package io.sequoiawheel.core.admission
 
 /**
- * Predicts the key-value memory that generations will need. All of them grow by a token per step and free their memory
- * at their end, so the memory peaks right before one of the predicted ends.
+ * Predicts the key-value cache memory of running generations. Each grows by one token per step and frees its memory
+ * when it ends, so total memory peaks right before one of the predicted ends.
  */
 object MemoryPredictor {
     private const val REMAINING_SHIFT = 32
 
-    /** Returns the largest sum of prompt and produced tokens over all future ends of [running]. */
+    /** Returns the largest sum of prompt and produced tokens at the predicted ends of [running]. */
     fun peakTokens(running: Collection<RunningEstimate>): Long {
         val packed = LongArray(running.size)
         running.forEachIndexed { index, estimate ->
@@ -18,18 +18,21 @@
     }
 
     /**
-     * Returns the largest expected sum over all future times. Each generation counts at each of its quantiles with an
-     * equal part, so the sum at a time is the mean over the uncertain ends. One quantile per generation either wastes
-     * memory or preempts: docs/decisions/memory-pressure.md has the figures.
+     * Returns the largest expected sum over all future times. Each quantile of a generation has the same weight, so the
+     * sum at a given time is the mean over the uncertain ends. A single quantile per generation either wastes memory or
+     * causes preemptions; docs/decisions/memory-pressure.md has the measurements.
      */
     fun expectedPeakTokens(forecasts: Collection<GenerationForecast>): Long {
-        val parts = forecasts.firstOrNull()?.remainingTokens?.size ?: return 0
+        val quantileCount = forecasts.firstOrNull()?.remainingTokens?.size ?: return 0
         val estimates =
             forecasts.flatMap { forecast -> forecast.remainingTokens.map { RunningEstimate(forecast.heldTokens, it) } }
-        return peakTokens(estimates) / parts
+        return peakTokens(estimates) / quantileCount
     }
 
-    /** Walks the ends from the last to the first; what ends later is still held at an earlier end. */
+    /**
+     * Iterates over the ends from the last to the first; generations that end later still hold memory at an earlier
+     * end.
+     */
     private fun peakOfSorted(packed: LongArray): Long {
         var peak = 0L
         var held = 0L
--- a/core/src/main/kotlin/io/sequoiawheel/core/admission/PrefillPacer.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/admission/PrefillPacer.kt
@@ -1,21 +1,21 @@
 package io.sequoiawheel.core.admission
 
 /**
- * Keeps prompts apart that would be computed by one replica at the same time. A step that computes two prompts is
- * longer for every running generation, and both first tokens come later than on two replicas. Thread-safe.
+ * Spaces out the prefills of one replica so that they do not overlap. A step that computes two prompts delays every
+ * running generation, and both first tokens arrive later than on two replicas. Thread-safe.
  *
- * @param tokensPerMillisecond prompt tokens that a replica computes per millisecond beside its running generations
+ * @param tokensPerMillisecond prompt tokens that a replica computes per millisecond while it runs generations
  */
 class PrefillPacer(
     private val tokensPerMillisecond: Double = 17.0,
 ) {
     private var busyUntilMillis = Long.MIN_VALUE
 
-    /** Whether an earlier prompt is probably still being computed. */
+    /** Returns whether an earlier prompt is probably still being computed. */
     @Synchronized
     fun isBusy(nowMillis: Long): Boolean = nowMillis < busyUntilMillis
 
-    /** Records that a prompt of [promptTokens] is sent now. */
+    /** Records that a prompt of [promptTokens] is dispatched now. */
     @Synchronized
     fun start(
         promptTokens: Int,
--- a/core/src/main/kotlin/io/sequoiawheel/core/admission/QueueLimits.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/admission/QueueLimits.kt
@@ -3,12 +3,12 @@
 import io.sequoiawheel.core.model.ServiceDocument
 
 /**
- * Bounds of a [FairQueue].
+ * Limits of a [FairQueue].
  *
  * @property maximumRequests queued requests in total
  * @property maximumRequestsPerWorkspace queued requests of one workspace
  * @property maximumWaitMillis longest time in the queue
- * @property maximumWorkspaces workspaces without queued requests whose use is remembered
+ * @property maximumWorkspaces idle workspaces whose charge is kept
  */
 data class QueueLimits(
     val maximumRequests: Int = 1_000,
@@ -17,7 +17,7 @@
     val maximumWorkspaces: Int = 1_024,
 ) {
     companion object {
-        /** Returns the bounds that a service document sets. */
+        /** Returns the limits that a service document sets. */
         fun of(policy: ServiceDocument.QueuePolicy) =
             QueueLimits(policy.maximumRequests, policy.maximumRequestsPerWorkspace, policy.maximumWaitMillis)
     }
--- a/core/src/main/kotlin/io/sequoiawheel/core/admission/QueuedRequest.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/admission/QueuedRequest.kt
@@ -3,13 +3,13 @@
 import io.sequoiawheel.core.model.WorkspaceName
 
 /**
- * A request that waits for a replica.
+ * A request that waits for a replica. Requests are compared by identity.
  *
- * @property item what the caller of the queue wants back; compared by identity
+ * @property item the payload that the queue returns to its caller
  * @property weight share of the workspace relative to others
  * @property costTokens estimated tokens, prompt and output
- * @property deadlineMillis time by which the request must have left the queue, by the caller's clock; null if only the
- *   queue's own bound applies
+ * @property deadlineMillis time by which the request must leave the queue, on the caller's clock; null if only
+ *   [QueueLimits.maximumWaitMillis] applies
  */
 class QueuedRequest<T : Any>(
     val item: T,
--- a/core/src/main/kotlin/io/sequoiawheel/core/admission/ReplicaMemory.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/admission/ReplicaMemory.kt
@@ -1,13 +1,13 @@
 /*
- * The sums that decide whether one replica takes one more generation. They belong to whoever grants room at that
- * replica; the load report gives the capacity, heartbeats give the progress of the generations.
+ * Memory accounting that decides whether a replica can admit another generation. It runs where capacity at that replica
+ * is granted; load reports provide the capacity and heartbeats the progress of the generations.
  */
 package io.sequoiawheel.core.admission
 
 import io.sequoiawheel.core.model.LoadReport
 import io.sequoiawheel.core.model.RequestId
 
-/** Reservations at one replica and the room that they leave. Thread-safe. */
+/** The reservations at one replica and its remaining capacity. Thread-safe. */
 class ReplicaMemory(
     private val factor: SafetyFactor = SafetyFactor(),
     private val pacer: PrefillPacer = PrefillPacer(),
@@ -16,10 +16,10 @@
     private var capacityTokens = 0L
     private var maximumConcurrent = 0
 
-    /** Requests that the replica can still take beside the reserved ones. */
+    /** The number of further requests that the replica can take. */
     val freeRequests: Int @Synchronized get() = maximumConcurrent - reservations.size
 
-    /** Takes capacity and preemptions from a load report. */
+    /** Applies the capacity and the preemption counter of a load report. */
     @Synchronized
     fun report(
         report: LoadReport,
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Reserves room if the expected peak including [forecast] stays under the capacity times the safety factor and no
-     * other prompt is being computed; returns whether it did.
+     * Reserves memory if the expected peak including [forecast] is within the capacity times the safety factor and no
+     * other prompt is being computed. Returns whether it was reserved.
      */
     @Synchronized
     fun reserve(
@@ -52,7 +52,7 @@
         return true
     }
 
-    /** Replaces the forecast of a reservation by one that knows its progress; ignores an unknown one. */
+    /** Updates the forecast of a reservation to reflect its progress; ignores an unknown id. */
     @Synchronized
     fun update(
         id: RequestId,
@@ -61,13 +61,13 @@
         reservations.computeIfPresent(id) { _, _ -> forecast }
     }
 
-    /** Returns the room of a request that has ended. */
+    /** Releases the reservation of a request that has ended. */
     @Synchronized
     fun release(id: RequestId) {
         reservations.remove(id)
     }
 
-    /** Returns the tokens that the expected peak leaves free; negative if the forecasts have grown beyond it. */
+    /** Returns the budget minus the expected peak in tokens; negative if the forecasts have grown beyond the budget. */
     @Synchronized
     fun freeTokens(nowMillis: Long): Long =
         budgetTokens(nowMillis) - MemoryPredictor.expectedPeakTokens(reservations.values)
--- a/core/src/main/kotlin/io/sequoiawheel/core/admission/RunningEstimate.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/admission/RunningEstimate.kt
@@ -1,10 +1,10 @@
 package io.sequoiawheel.core.admission
 
 /**
- * One generation in the memory of a replica.
+ * The memory use and predicted remaining length of one generation at a replica.
  *
  * @property heldTokens prompt and produced tokens
- * @property remainingTokens predicted tokens that are still to come
+ * @property remainingTokens predicted output tokens that remain
  */
 data class RunningEstimate(
     val heldTokens: Int,
--- a/core/src/main/kotlin/io/sequoiawheel/core/admission/SafetyFactor.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/admission/SafetyFactor.kt
@@ -1,16 +1,16 @@
 package io.sequoiawheel.core.admission
 
 /**
- * The share of a replica's memory that predictions may fill. Thread-safe. It decreases by a tenth when the replica
- * reports a preemption. It increases slowly, and only while requests are denied for lack of room: without demand a
- * higher share gains nothing and risks preemptions.
+ * The share of a replica's memory that predicted use may reach. Thread-safe. It decreases by a tenth when the replica
+ * reports a preemption. It increases slowly, and only while requests are denied for lack of memory: without demand a
+ * higher share has no benefit and risks preemptions.
  *
- * @param minimum lowest factor; below it a long generation would no longer be admitted
+ * @param minimum lowest factor; with a lower one a long generation could no longer be admitted
  * @param initial factor before any demand or preemption
  * @param maximum highest factor
- * @param recoveryPerSecond increase per second of denied requests
- * @param demandMillis time after a denial that counts as demand
- * @param settleMillis time after a decrease in which further preemptions count as the same overload
+ * @param recoveryPerSecond increase per second while requests are denied
+ * @param demandMillis how long after a denial there is considered to be demand
+ * @param settleMillis how long after a decrease further preemptions are attributed to the same overload
  */
 class SafetyFactor(
     private val minimum: Double = 0.6,
@@ -37,14 +37,17 @@
         return factor
     }
 
-    /** Records that a request was denied for lack of room. */
+    /** Records that a request was denied for lack of memory. */
     @Synchronized
     fun reportDenial(nowMillis: Long) {
         value(nowMillis)
         demandUntilMillis = maxOf(demandUntilMillis ?: nowMillis, nowMillis + demandMillis)
     }
 
-    /** Takes the preemption counter of a load report; [startId] tells a restart, which resets the counter. */
+    /**
+     * Applies the preemption counter of a load report; a changed [startId] indicates a restart, which resets the
+     * counter.
+     */
     @Synchronized
     fun report(
         startId: String,
@@ -62,11 +65,11 @@
         val last = decreasedAtMillis
         if (last != null && nowMillis - last < settleMillis) return
         decreasedAtMillis = nowMillis
-        factor = maxOf(minimum, value(nowMillis) * DECREASE)
+        factor = maxOf(minimum, value(nowMillis) * DECREASE_FACTOR)
     }
 
     private companion object {
-        const val DECREASE = 0.9
+        const val DECREASE_FACTOR = 0.9
         const val MILLIS_PER_SECOND = 1000.0
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/admission/internal/DrainRate.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/admission/internal/DrainRate.kt
@@ -2,7 +2,7 @@
 
 import kotlin.math.exp
 
-/** Exponentially weighted rate of dispatched tokens. */
+/** An exponentially weighted moving rate of dispatched tokens. */
 internal class DrainRate(
     private val timeConstantMillis: Double = 10_000.0,
 ) {
@@ -19,13 +19,13 @@
         tokens += dispatched
     }
 
-    /** Tokens per millisecond, or null until [MINIMUM_AGE_MILLIS] after the first dispatch. */
+    /** Returns the tokens per millisecond, or null until [MINIMUM_AGE_MILLIS] after the first dispatch. */
     fun perMillisecond(nowMillis: Long): Double? {
         val age = nowMillis - (startedAtMillis ?: return null)
         if (age < MINIMUM_AGE_MILLIS) return null
         decay(nowMillis)
-        val seen = timeConstantMillis * (1 - exp(-age / timeConstantMillis))
-        return (tokens / seen).takeIf { it > 0 }
+        val effectiveMillis = timeConstantMillis * (1 - exp(-age / timeConstantMillis))
+        return (tokens / effectiveMillis).takeIf { it > 0 }
     }
 
     private fun decay(nowMillis: Long) {
@@ -36,7 +36,7 @@
     }
 
     private companion object {
-        /** A rate over a shorter time mostly shows when the first requests happened to leave. */
+        /** A rate over a shorter period mostly reflects when the first requests happened to be dispatched. */
         const val MINIMUM_AGE_MILLIS = 2_000L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/admission/internal/LengthHistory.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/admission/internal/LengthHistory.kt
@@ -2,7 +2,7 @@
 
 import org.HdrHistogram.IntCountsHistogram
 
-/** The most recent output lengths of one group: between one and two windows of them. */
+/** Histograms of the most recent output lengths of one key, covering one to two windows. */
 internal class LengthHistory(
     private val windowSamples: Int,
 ) {
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Returns the length at [quantile] among the recorded ones above [produced], or null if fewer than
-     * [minimumSamples] are.
+     * Returns the length at [quantile] among the recorded lengths above [produced], or null if there are fewer than
+     * [minimumSamples].
      */
     @Synchronized
     fun quantile(
@@ -55,10 +55,10 @@
     private fun emptyHistogram() = IntCountsHistogram(1, MAXIMUM_TOKENS, SIGNIFICANT_DIGITS)
 
     private companion object {
-        /** Longest output that is told apart, in tokens. */
+        /** The longest output in tokens; longer ones are recorded as this length. */
         const val MAXIMUM_TOKENS = 131_071L
 
-        /** One digit keeps a histogram near 1 KB; the estimate needs no more. */
+        /** One significant digit keeps a histogram near 1 KB and is precise enough for the estimate. */
         const val SIGNIFICANT_DIGITS = 1
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/ColdStartRamp.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/ColdStartRamp.kt
@@ -1,6 +1,6 @@
 /*
- * How many concurrent requests a replica may have, over all entry instances together, while it warms up. The ledger of
- * its granting instance owns the ramp, so that many entry instances cannot add up to more than the replica bears.
+ * Limits the concurrent requests of a replica, summed over all entry instances, while it warms up. The ledger of the
+ * granting instance owns the ramp, so that the entry instances together cannot exceed what the replica can serve.
  */
 package io.sequoiawheel.core.grant
 
@@ -9,9 +9,10 @@
 
 /**
  * The concurrency limit of one replica. It starts at the policy's initial value and grows by the policy's factor after
- * each step in which requests got their first token and all did so in time. Not thread-safe; the ledger guards it.
+ * each step in which requests received their first token and none was late. Not thread-safe; the ledger synchronizes
+ * access.
  *
- * @param targetMillis first-token time that is in time as long as no warm figure is known
+ * @param targetMillis longest first-token time that is not late while no first-token time of the warm replica is known
  */
 class ColdStartRamp(
     private val policy: ColdStartPolicy,
@@ -22,19 +23,19 @@
     private var allowance = policy.initialConcurrent.toDouble()
     private var maximum = policy.initialConcurrent
     private var stepStartMillis = 0L
-    private var inTime = 0
-    private var late = 0
+    private var onTimeCount = 0
+    private var lateCount = 0
     private var warmFirstTokenMillis: Double? = null
 
-    /** The limit of concurrent requests now. */
+    /** The current limit of concurrent requests. */
     val limit: Int get() = allowance.toInt().coerceIn(1, maximum.coerceAtLeast(1))
 
     /** Whether the replica has reached its full concurrency. */
     val isWarm: Boolean get() = allowance >= maximum
 
     /**
-     * Takes a load report. A new start or a report that turns cold begins again; one that turns warm ends the ramp.
-     * What a replica that is not cold runs at this moment is proof that it bears as much.
+     * Applies a load report. A new process, or a warm replica that reports itself cold, restarts the ramp; a change
+     * from cold to warm ends it. The number of requests that a warm replica is running is a lower bound of its limit.
      */
     fun report(
         report: LoadReport,
@@ -51,7 +52,7 @@
         if (!report.cold) allowance = maxOf(allowance, report.running.toDouble())
     }
 
-    /** Raises the limit to what another granting instance had reached for [startId]. */
+    /** Raises the limit to the one that another granting instance reached for the same process [startId]. */
     fun adopt(
         startId: String,
         limit: Int,
@@ -60,45 +61,51 @@
     }
 
     /** Records the time from dispatch to the first token of one request. */
-    fun firstToken(
+    fun recordFirstToken(
         millis: Long,
         nowMillis: Long,
     ) {
-        val bound = warmFirstTokenMillis?.let { maxOf(it * LATE_FACTOR, targetMillis.toDouble()) }
-        if (millis > (bound ?: targetMillis.toDouble())) late++ else inTime++
+        val lateThresholdMillis =
+            warmFirstTokenMillis?.let {
+                maxOf(
+                    it * LATE_FIRST_TOKEN_FACTOR,
+                    targetMillis.toDouble(),
+                )
+            }
+        if (millis > (lateThresholdMillis ?: targetMillis.toDouble())) lateCount++ else onTimeCount++
         if (isWarm) {
             val previous = warmFirstTokenMillis ?: millis.toDouble()
-            warmFirstTokenMillis = previous + (millis - previous) * SMOOTHING
+            warmFirstTokenMillis = previous + (millis - previous) * SMOOTHING_FACTOR
         }
         advance(nowMillis)
     }
 
-    /** Ends a step whose time is over. */
+    /** Ends the current step if its duration has elapsed. */
     fun advance(nowMillis: Long) {
         if (nowMillis - stepStartMillis < policy.stepMillis) return
         when {
-            isWarm && late > inTime && late >= MINIMUM_LATE -> restart(nowMillis)
-            late == 0 && inTime > 0 && !isWarm -> allowance *= policy.growthFactor
+            isWarm && lateCount > onTimeCount && lateCount >= MINIMUM_LATE_COUNT -> restart(nowMillis)
+            lateCount == 0 && onTimeCount > 0 && !isWarm -> allowance *= policy.growthFactor
         }
         stepStartMillis = nowMillis
-        inTime = 0
-        late = 0
+        onTimeCount = 0
+        lateCount = 0
     }
 
     private fun restart(nowMillis: Long) {
         allowance = policy.initialConcurrent.toDouble()
         stepStartMillis = nowMillis
-        inTime = 0
-        late = 0
+        onTimeCount = 0
+        lateCount = 0
     }
 
     private companion object {
-        /** A warm replica whose first tokens take this many times longer than usual has turned cold. */
-        const val LATE_FACTOR = 5.0
+        /** A first token of a warm replica is late if it takes this many times longer than the moving average. */
+        const val LATE_FIRST_TOKEN_FACTOR = 5.0
 
-        /** A few late requests are noise, not a cold replica. */
-        const val MINIMUM_LATE = 4
+        /** Fewer late requests in a step are treated as noise, not as a cold replica. */
+        const val MINIMUM_LATE_COUNT = 4
 
-        const val SMOOTHING = 0.05
+        const val SMOOTHING_FACTOR = 0.05
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantAuthority.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantAuthority.kt
@@ -1,17 +1,17 @@
 /*
- * Decides which part of a replica's capacity a ledger may grant. A ledger with which all members are registered knows
- * all reservations. One without all members cannot tell dead members from unreachable ones; it waits until their
- * credits have expired and then grants only the share of its registered members.
+ * Determines the share of a replica's capacity that a ledger may grant. A ledger with which all members are registered
+ * knows all reservations. If members are missing, it cannot distinguish crashed from unreachable ones; it waits until
+ * their credits have expired and then grants only the share of the registered members.
  */
 package io.sequoiawheel.core.grant
 
-/** The authority of one ledger. Not thread-safe; the ledger guards it. */
+/** The authority of one ledger to grant capacity. Not thread-safe; the ledger synchronizes access. */
 internal class GrantAuthority(
     private val settings: GrantSettings,
 ) {
     private var settlingSinceMillis: Long? = null
 
-    /** Since when the ledger may grant, or null if it may not. */
+    /** The time at which the ledger became allowed to grant, or null if it may not grant. */
     var sinceMillis: Long? = null
         private set
 
@@ -19,7 +19,7 @@
     var fraction = 0.0
         private set
 
-    /** Takes the number of [registered] members of [view]; the host must be one of them. */
+    /** Updates the authority from [view] and its number of [registered] members. The host itself must be registered. */
     fun update(
         view: GrantView,
         registered: Int,
@@ -29,7 +29,7 @@
         val total = view.members.size
         val mayServe = view.isResponsible && isHostRegistered
         val isEntitled = mayServe && (view.isFresh || registered * 2 > total)
-        if (!isEntitled) return lose()
+        if (!isEntitled) return revoke()
         val isComplete = view.isFresh && registered == total
         val settling = settlingSinceMillis ?: nowMillis.also { settlingSinceMillis = it }
         val hasSettled = nowMillis - settling >= settings.settleMillis
@@ -37,7 +37,7 @@
         fraction = if (sinceMillis == null) 0.0 else registered.toDouble() / total
     }
 
-    private fun lose() {
+    private fun revoke() {
         settlingSinceMillis = null
         sinceMillis = null
         fraction = 0.0
--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantClient.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantClient.kt
@@ -1,7 +1,8 @@
 /*
- * The requesting side for one replica: with which granting instance this entry instance is registered, what it has
- * reserved, and what it may send without asking. It is registered with at most one granting instance at a time, and it
- * moves to another only when the previous ledger has certainly ended the registration.
+ * The requesting side of the grant protocol for one replica. It tracks the granting instance with which this entry
+ * instance is registered, the reservations, and the credit for requests sent without asking. An entry instance is
+ * registered with at most one granting instance at a time, and moves to another only after the previous registration
+ * has certainly ended at the ledger.
  */
 package io.sequoiawheel.core.grant
 
@@ -9,7 +10,7 @@
 import io.sequoiawheel.core.model.RequestId
 import io.sequoiawheel.core.routing.ReplicaState
 
-/** The client of one replica's ledgers at entry instance [self]. Thread-safe. */
+/** The client through which entry instance [self] uses the ledgers of one replica. Thread-safe. */
 class GrantClient(
     private val self: InstanceId,
     private val settings: GrantSettings = GrantSettings(),
@@ -17,49 +18,49 @@
     private val outstanding = LinkedHashMap<RequestId, Reservation>()
     private val unreported = LinkedHashMap<RequestId, Reservation>()
     private val ended = LinkedHashSet<RequestId>()
-    private val asked = HashMap<RequestId, Long>()
-    private var granter: InstanceId? = null
+    private val pendingTickets = HashMap<RequestId, Long>()
+    private var grantingInstance: InstanceId? = null
     private var echo = 0L
     private var lastAnswerMillis: Long? = null
     private var registration = 0L
     private var startId = ""
     private var limit = 0
-    private var credit = Room.NONE
+    private var credit = Capacity.NONE
     private var creditUntilMillis = Long.MIN_VALUE
     private var sequence = 0L
-    private var inFlight: InFlight? = null
+    private var awaitedHeartbeat: SentHeartbeat? = null
     private var lastState: ReplicaState? = null
 
-    /** The last state heard of the replica, or null. */
+    /** The last state received for the replica, or null. */
     val state: ReplicaState?
         @Synchronized get() = lastState
 
-    /** Returns the instance to ask for room, or null while there is none. */
+    /** Returns the granting instance to ask for capacity, or null while not registered. */
     @Synchronized
-    fun granter(nowMillis: Long): InstanceId? = granter?.takeIf { isRegistered(nowMillis) }
+    fun grantingInstance(nowMillis: Long): InstanceId? = grantingInstance?.takeIf { isRegistered(nowMillis) }
 
-    /** Returns the ticket for asking for room for [request] now, or null while not registered. */
+    /** Returns a ticket for asking for capacity for [request] now, or null while not registered. */
     @Synchronized
-    fun ask(
+    fun issueTicket(
         request: RequestId,
         nowMillis: Long,
     ): GrantTicket? {
         if (!isRegistered(nowMillis)) return null
-        asked[request] = nowMillis
+        pendingTickets[request] = nowMillis
         return GrantTicket(registration, nowMillis)
     }
 
-    /** Records that room for [request] was refused. */
+    /** Records that capacity for [request] was refused. */
     @Synchronized
-    fun refused(request: RequestId) {
-        asked.remove(request)
+    fun onRefused(request: RequestId) {
+        pendingTickets.remove(request)
     }
 
     /**
-     * Returns the next heartbeat and its receiver. [desired] is the granting instance in this instance's view. While an
-     * earlier registration may be in force elsewhere, the heartbeat goes there: to leave it, or to wait for its end.
+     * Returns the next heartbeat and its receiver. [desired] is the granting instance in this instance's view. While a
+     * registration with another instance may still be in force, the heartbeat goes there, to end that registration.
      *
-     * @param inheritance what this instance's own ledger passes on, see [GrantLedger.inheritance]
+     * @param inheritance the reservations that this instance's own ledger hands over, see [GrantLedger.inheritance]
      */
     @Synchronized
     fun nextHeartbeat(
@@ -67,16 +68,17 @@
         nowMillis: Long,
         inheritance: List<Reservation>? = null,
     ): Pair<InstanceId, GrantHeartbeat> {
-        val current = granter
-        if (current != null && current != desired && hasEnded(nowMillis)) forget()
-        if (granter == null) granter = desired
-        val receiver = granter ?: desired
+        val current = grantingInstance
+        if (current != null && current != desired && hasRegistrationEnded(nowMillis)) resetRegistration()
+        if (grantingInstance == null) grantingInstance = desired
+        val receiver = grantingInstance ?: desired
         val isLeaving = receiver != desired
-        abandonLate(nowMillis)
-        val isComplete = echo == 0L || sequence % COMPLETE_EVERY == 0L
+        abandonExpiredTickets(nowMillis)
+        val isComplete = echo == 0L || sequence % COMPLETE_HEARTBEAT_INTERVAL == 0L
         val reservations = (if (isComplete) outstanding else unreported).values.toList()
         sequence++
-        inFlight = InFlight(sequence, nowMillis, unreported.keys.toSet(), ended.toSet(), spent = Room.NONE)
+        awaitedHeartbeat =
+            SentHeartbeat(sequence, nowMillis, unreported.keys.toSet(), ended.toSet(), spent = Capacity.NONE)
         val heartbeat =
             GrantHeartbeat(
                 self,
@@ -94,17 +96,17 @@
         return receiver to heartbeat
     }
 
-    /** Takes the answer of [sender]. Answers to any but the latest heartbeat are ignored. */
+    /** Applies the answer of [sender]. Answers to any but the latest heartbeat are ignored. */
     @Synchronized
-    fun answered(
+    fun onAnswer(
         sender: InstanceId,
         answer: GrantAnswer,
         nowMillis: Long,
     ) {
-        val sent = inFlight
-        if (sent == null || sender != granter || answer.sequence != sent.sequence) return
-        inFlight = null
-        if (!answer.isResponsible) return forget()
+        val sent = awaitedHeartbeat
+        if (sent == null || sender != grantingInstance || answer.sequence != sent.sequence) return
+        awaitedHeartbeat = null
+        if (!answer.isResponsible) return resetRegistration()
         if (lastAnswerMillis == null) registration++
         lastAnswerMillis = nowMillis
         echo = answer.nonce
@@ -112,21 +114,21 @@
         lastState = answer.state
         unreported.keys.removeAll(sent.reported)
         ended.removeAll(sent.ended)
-        adopt(answer, sent)
+        updateCredit(answer, sent)
     }
 
     /**
      * Records a grant and returns whether it may be used. It may not if the registration of its [ticket] has ended or
-     * the ticket is too old; the next heartbeat then returns the room.
+     * the ticket is too old; the next heartbeat then releases the capacity.
      */
     @Synchronized
-    fun granted(
+    fun acceptGrant(
         reservation: Reservation,
         ticket: GrantTicket,
         nowMillis: Long,
     ): Boolean {
-        if (asked.remove(reservation.request) == null) return false
-        val isLate = nowMillis - ticket.askedMillis >= settings.grantUseMillis
+        if (pendingTickets.remove(reservation.request) == null) return false
+        val isLate = nowMillis - ticket.requestedMillis >= settings.grantUseMillis
         if (isLate || ticket.registration != registration || !isRegistered(nowMillis)) {
             ended += reservation.request
             return false
@@ -136,7 +138,7 @@
     }
 
     /**
-     * Takes room from the instance's credit, for a request that cannot reach the granting instance. Returns false if
+     * Reserves capacity from this instance's credit when the granting instance cannot be reached. Returns false if
      * the credit is too small, has expired, or belongs to another process of the replica than [seenStartId].
      */
     @Synchronized
@@ -145,9 +147,9 @@
         seenStartId: String,
         nowMillis: Long,
     ): Boolean {
-        if (seenStartId != startId || !usableCredit(nowMillis).covers(reservation.room)) return false
-        credit -= reservation.room
-        inFlight = inFlight?.let { it.copy(spent = it.spent + reservation.room) }
+        if (seenStartId != startId || !usableCredit(nowMillis).covers(reservation.capacity)) return false
+        credit -= reservation.capacity
+        awaitedHeartbeat = awaitedHeartbeat?.let { it.copy(spent = it.spent + reservation.capacity) }
         outstanding[reservation.request] = reservation
         unreported[reservation.request] = reservation
         return true
@@ -155,35 +157,35 @@
 
     /** Records the end of a request. Returns the instance to which the release is sent, or null if there is none. */
     @Synchronized
-    fun finished(request: RequestId): InstanceId? {
+    fun onFinished(request: RequestId): InstanceId? {
         unreported.remove(request)
         outstanding.remove(request) ?: return null
         ended += request
-        return granter
+        return grantingInstance
     }
 
-    /** Returns how many requests of this instance hold room. */
+    /** Returns how many requests of this instance hold a reservation. */
     @Synchronized
     fun outstandingCount(): Int = outstanding.size
 
-    /** Returns the room that may be used without asking. */
+    /** Returns the capacity that may be used without asking. */
     @Synchronized
-    fun usableCredit(nowMillis: Long): Room = if (nowMillis < creditUntilMillis) credit else Room.NONE
+    fun usableCredit(nowMillis: Long): Capacity = if (nowMillis < creditUntilMillis) credit else Capacity.NONE
 
-    // The answer was lost or comes too late to be used; the ledger may have reserved the room.
-    private fun abandonLate(nowMillis: Long) {
-        val late = asked.filterValues { nowMillis - it >= settings.grantUseMillis }.keys
-        ended += late
-        asked.keys.removeAll(late)
+    // The answer was lost or would arrive too late to be used; the ledger may have reserved the capacity.
+    private fun abandonExpiredTickets(nowMillis: Long) {
+        val expired = pendingTickets.filterValues { nowMillis - it >= settings.grantUseMillis }.keys
+        ended += expired
+        pendingTickets.keys.removeAll(expired)
     }
 
-    private fun adopt(
+    private fun updateCredit(
         answer: GrantAnswer,
-        sent: InFlight,
+        sent: SentHeartbeat,
     ) {
         startId = answer.startId
-        val rest = answer.credit - sent.spent
-        credit = if (rest.tokens > 0 && rest.requests > 0) rest else Room.NONE
+        val remainingCredit = answer.credit - sent.spent
+        credit = if (remainingCredit.tokens > 0 && remainingCredit.requests > 0) remainingCredit else Capacity.NONE
         creditUntilMillis = sent.sentMillis + settings.creditMillis
     }
 
@@ -192,29 +194,29 @@
         return nowMillis - last < settings.leaseMillis
     }
 
-    // The ledger counts its lease from the time it issued the nonce, which is before the answer arrived here.
-    private fun hasEnded(nowMillis: Long): Boolean {
+    // The ledger measures the lease from when it issued the nonce, which is before the answer arrived here.
+    private fun hasRegistrationEnded(nowMillis: Long): Boolean {
         val last = lastAnswerMillis ?: return true
         return nowMillis - last >= settings.leaseMillis + settings.leaseMarginMillis
     }
 
-    private fun forget() {
-        granter = null
+    private fun resetRegistration() {
+        grantingInstance = null
         echo = 0
         lastAnswerMillis = null
-        inFlight = null
+        awaitedHeartbeat = null
     }
 
-    private data class InFlight(
+    private data class SentHeartbeat(
         val sequence: Long,
         val sentMillis: Long,
         val reported: Set<RequestId>,
         val ended: Set<RequestId>,
-        val spent: Room,
+        val spent: Capacity,
     )
 
     private companion object {
-        /** Every so many heartbeats the full list of reservations repairs lost releases and grants. */
-        const val COMPLETE_EVERY = 10L
+        /** Every such heartbeat lists all reservations, which repairs lost releases and grants. */
+        const val COMPLETE_HEARTBEAT_INTERVAL = 10L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantLedger.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantLedger.kt
@@ -1,8 +1,8 @@
 /*
- * The granting side of one replica: it knows who may send how much, and admits against the replica's predicted memory
- * and concurrency. A request is granted only if reserved work, credits and load of unknown origin together stay within
- * the capacity that this ledger may grant. docs/decisions/grants.md explains why shares of live instances alone do not
- * bound the sum.
+ * The granting side of the grant protocol for one replica. It records the reservations and credits of all entry
+ * instances and admits requests against the replica's predicted memory and concurrency. A request is granted only if
+ * reservations, credits and unexplained load together stay within the capacity that this ledger may grant.
+ * docs/decisions/grants.md explains why dividing the capacity among live instances does not bound the total.
  */
 package io.sequoiawheel.core.grant
 
@@ -15,7 +15,7 @@
 /**
  * The ledger of [replica] at the entry instance [host]. Thread-safe; every operation takes the current time.
  *
- * @param capacity returns the tokens of the replica's memory that may be planned with, after a safety margin
+ * @param capacity returns the usable tokens of the replica's memory, after a safety margin
  */
 class GrantLedger(
     private val replica: InstanceId,
@@ -26,21 +26,21 @@
     private val settings: GrantSettings = GrantSettings(),
     private val capacity: (LoadReport, Long) -> Long = { report, _ -> report.memoryCapacityTokens },
 ) {
-    private val book = ChargeBook(estimator, correction, settings)
+    private val usage = CapacityUsage(estimator, correction, settings)
     private val authority = GrantAuthority(settings)
-    private val unexplained = UnexplainedLoad()
+    private val unexplainedLoad = UnexplainedLoad()
     private val ramp = ColdStartRamp(policy)
     private var view = GrantView(isResponsible = false, members = emptySet(), isFresh = false)
     private var report: LoadReport? = null
     private var reportMillis = 0L
     private var isReachable = false
     private var isLeaving = false
-    private var lastAuthorityMillis = ChargeBook.NEVER_MILLIS
-    private var inheritedMillis = ChargeBook.NEVER_MILLIS
+    private var lastAuthorityMillis = CapacityUsage.NEVER_MILLIS
+    private var inheritedMillis = CapacityUsage.NEVER_MILLIS
     private var lastNonce = 0L
-    private var lastRefusalMillis = ChargeBook.NEVER_MILLIS
+    private var lastRefusalMillis = CapacityUsage.NEVER_MILLIS
 
-    /** Takes the membership; call it at least once a second. */
+    /** Updates the membership. Must be called at least once a second. */
     @Synchronized
     fun update(
         view: GrantView,
@@ -52,7 +52,7 @@
         advance(nowMillis)
     }
 
-    /** Takes a load report that arrived now. */
+    /** Applies a load report that has just arrived. */
     @Synchronized
     fun report(
         report: LoadReport,
@@ -60,39 +60,41 @@
     ) {
         val old = this.report?.startId
         if (old != null && old != report.startId) {
-            book.restart(old, nowMillis)
-            unexplained.clear()
+            usage.onReplicaRestart(old, nowMillis)
+            unexplainedLoad.clear()
         }
         this.report = report
         reportMillis = nowMillis - report.ageMillis
         isReachable = true
         ramp.report(report, nowMillis)
         advance(nowMillis)
-        unexplained.report(report, book.heldSince, nowMillis)
+        unexplainedLoad.report(report, usage.heldSinceMillis, nowMillis)
     }
 
-    /** Records that the replica did not answer or lost its streams. Nothing is granted until the next report. */
+    /**
+     * Records that the replica did not answer or that its streams broke. Nothing is granted until the next load report.
+     */
     @Synchronized
-    fun unreachable() {
+    fun markUnreachable() {
         isReachable = false
     }
 
-    /** Records the first-token time of a request, which drives the cold-start ramp. */
+    /** Records the time to first token of a request as input to the cold-start ramp. */
     @Synchronized
-    fun firstToken(
+    fun recordFirstToken(
         millis: Long,
         nowMillis: Long,
-    ) = ramp.firstToken(millis, nowMillis)
+    ) = ramp.recordFirstToken(millis, nowMillis)
 
-    /** Handles a heartbeat. */
+    /** Processes a heartbeat and returns its answer. */
     @Synchronized
     fun heartbeat(
         heartbeat: GrantHeartbeat,
         nowMillis: Long,
     ): GrantAnswer {
-        val member = book.member(heartbeat.instance)
+        val member = usage.member(heartbeat.instance)
         if (heartbeat.sequence <= member.lastSequence) return answer(heartbeat, member, 0)
-        book.record(heartbeat, member, nowMillis)
+        usage.applyHeartbeat(heartbeat, member, nowMillis)
         if (heartbeat.inherited != null) inheritedMillis = nowMillis
         ramp.adopt(heartbeat.startId, heartbeat.knownLimit)
         if (!view.isResponsible || heartbeat.isLeaving) {
@@ -103,11 +105,11 @@
         member.extendLease(heartbeat.echo, settings.leaseMillis)
         advance(nowMillis)
         member.answeredCredit = creditFor(member, nowMillis)
-        member.issue(++lastNonce, nowMillis)
+        member.recordNonce(++lastNonce, nowMillis)
         return answer(heartbeat, member, lastNonce)
     }
 
-    /** Reserves room for one request of [instance]. Asking again for the same request has no further effect. */
+    /** Reserves capacity for one request of [instance]. Idempotent per request. */
     @Synchronized
     fun reserve(
         instance: InstanceId,
@@ -115,123 +117,128 @@
         nowMillis: Long,
     ): ReserveResult {
         advance(nowMillis)
-        val member = book.members[instance]?.takeIf { it.isRegistered(nowMillis) }
+        val member = usage.members[instance]?.takeIf { it.isRegistered(nowMillis) }
         if (member == null || !view.isResponsible) return ReserveResult.NOT_RESPONSIBLE
         if (reservation.request in member.held) return ReserveResult.GRANTED
-        if (!canGrant() || !hasRoom(reservation, nowMillis)) {
+        if (!canGrant() || !hasCapacity(reservation, nowMillis)) {
             lastRefusalMillis = nowMillis
-            return ReserveResult.NO_ROOM
+            return ReserveResult.NO_CAPACITY
         }
-        book.hold(member, reservation, nowMillis)
+        usage.addReservation(member, reservation, nowMillis)
         return ReserveResult.GRANTED
     }
 
-    /** Returns the room of a finished or abandoned request; an unknown one is ignored. */
+    /** Releases the reservation of a finished or abandoned request; unknown requests are ignored. */
     @Synchronized
     fun release(
         instance: InstanceId,
         request: RequestId,
     ) {
-        book.members[instance]?.held?.remove(request)
+        usage.members[instance]?.held?.remove(request)
     }
 
     /**
-     * Returns what the host passes on when it gives up granting: the reservations of instances that do not report to
-     * the next granting instance by themselves. Null if this ledger has not granted within the lease.
+     * Returns the reservations that the host hands over when another instance becomes the granting one: those of
+     * instances that do not report to it themselves. Null if this ledger had no authority within the last lease.
      */
     @Synchronized
     fun inheritance(nowMillis: Long): List<Reservation>? {
         val hasGranted = nowMillis - lastAuthorityMillis < settings.leaseMillis
-        return if (hasGranted) book.silent(registered(nowMillis).toSet()) else null
+        return if (hasGranted) usage.reservationsNotReportedBy(registered(nowMillis).toSet()) else null
     }
 
-    /** Returns what requesters need to know of the replica. */
+    /** Returns the state of the replica for requesting instances. */
     @Synchronized
     fun state(nowMillis: Long): ReplicaState {
         advance(nowMillis)
         return stateOf(nowMillis)
     }
 
-    /** Returns the room that is reserved, handed out as credit, or used by load of unknown origin. */
+    /** Returns the capacity that is reserved, granted as credit, or used by unexplained load. */
     @Synchronized
-    fun charged(nowMillis: Long): Room = chargedWith(null, nowMillis)
+    fun charged(nowMillis: Long): Capacity = chargedIncluding(null, nowMillis)
 
-    /** Returns the capacity that this ledger may grant now; nothing without authority. */
+    /** Returns the capacity that this ledger may grant now; zero without authority. */
     @Synchronized
-    fun bound(nowMillis: Long): Room {
+    fun grantableCapacity(nowMillis: Long): Capacity {
         advance(nowMillis)
-        return boundNow()
+        return currentlyGrantable()
     }
 
     private fun advance(nowMillis: Long) {
-        val orphans = book.dropLost(view.members, nowMillis)
-        unexplained.add(orphans, nowMillis)
+        val orphans = usage.removeLostMembers(view.members, nowMillis)
+        unexplainedLoad.add(orphans, nowMillis)
         val registered = registered(nowMillis)
-        val before = authority.sinceMillis
+        val previousSince = authority.sinceMillis
         authority.update(view, registered.size, host in registered, nowMillis)
-        val isNew = before == null && authority.sinceMillis != null
-        val isTakeover = isNew && nowMillis - inheritedMillis > INHERITED_MILLIS
+        val hasGainedAuthority = previousSince == null && authority.sinceMillis != null
+        val isTakeover = hasGainedAuthority && nowMillis - inheritedMillis > RECENT_INHERITANCE_MILLIS
         if (authority.sinceMillis != null) lastAuthorityMillis = nowMillis
-        if (orphans > 0 || isTakeover || authority.fraction < 1) unexplained.watch(nowMillis + settings.takeoverMillis)
+        if (orphans > 0 ||
+            isTakeover ||
+            authority.fraction < 1
+        ) {
+            unexplainedLoad.watchUntil(nowMillis + settings.takeoverMillis)
+        }
         ramp.advance(nowMillis)
-        report?.let { book.predictAgain(it.stepMillis, nowMillis) }
+        report?.let { usage.updatePredictions(it.stepMillis, nowMillis) }
     }
 
     private fun registered(nowMillis: Long): List<InstanceId> =
-        view.members.filter { book.members[it]?.isRegistered(nowMillis) == true }
+        view.members.filter { usage.members[it]?.isRegistered(nowMillis) == true }
 
     private fun canGrant(): Boolean {
-        val since = authority.sinceMillis ?: return false
-        return isReachable && !isLeaving && reportMillis >= since + settings.grantUseMillis
+        val authoritySince = authority.sinceMillis ?: return false
+        return isReachable && !isLeaving && reportMillis >= authoritySince + settings.grantUseMillis
     }
 
-    private fun hasRoom(
+    private fun hasCapacity(
         reservation: Reservation,
         nowMillis: Long,
-    ): Boolean = boundNow().covers(chargedWith(reservation, nowMillis))
+    ): Boolean = currentlyGrantable().covers(chargedIncluding(reservation, nowMillis))
 
-    private fun chargedWith(
+    private fun chargedIncluding(
         added: Reservation?,
         nowMillis: Long,
-    ): Room = book.charged(added, unexplained.requests, nowMillis)
+    ): Capacity = usage.charged(added, unexplainedLoad.requests, nowMillis)
 
     private fun creditFor(
         member: GrantMember,
         nowMillis: Long,
-    ): Room {
-        val isGuest = member.instance !in view.members
-        if (isGuest) return Room.NONE
+    ): Capacity {
+        val isOutsideView = member.instance !in view.members
+        if (isOutsideView) return Capacity.NONE
         if (authority.sinceMillis == null) return member.reportedCredit
-        val isPressed = nowMillis - lastRefusalMillis < PRESSED_MILLIS
-        if (isPressed || !canGrant() || authority.fraction < 1) return Room.NONE
-        val free = boundNow() - (chargedWith(null, nowMillis) - book.creditOf(member, nowMillis))
+        val isContended = nowMillis - lastRefusalMillis < CONTENTION_MILLIS
+        if (isContended || !canGrant() || authority.fraction < 1) return Capacity.NONE
+        val free = currentlyGrantable() - (chargedIncluding(null, nowMillis) - usage.creditOf(member, nowMillis))
         val share = settings.creditShare / view.members.size
-        val credit = Room((free.tokens * share).toLong(), (free.requests * share).toInt())
-        return if (credit.tokens > 0 && credit.requests > 0) credit else Room.NONE
+        val credit = Capacity((free.tokens * share).toLong(), (free.requests * share).toInt())
+        return if (credit.tokens > 0 && credit.requests > 0) credit else Capacity.NONE
     }
 
-    private fun boundNow(): Room {
-        val report = this.report ?: return Room.NONE
+    private fun currentlyGrantable(): Capacity {
+        val report = this.report ?: return Capacity.NONE
         val tokens = if (report.memoryCapacityTokens == 0L) UNLIMITED_TOKENS else capacity(report, reportMillis)
-        return Room((tokens * authority.fraction).toLong(), (ramp.limit * authority.fraction).toInt())
+        return Capacity((tokens * authority.fraction).toLong(), (ramp.limit * authority.fraction).toInt())
     }
 
     private fun stateOf(nowMillis: Long): ReplicaState {
-        val free = boundNow() - chargedWith(null, nowMillis)
-        val last = report ?: LoadReport(startId = "")
+        val free = currentlyGrantable() - chargedIncluding(null, nowMillis)
+        val latest = report ?: LoadReport(startId = "")
         return ReplicaState(
             replica = replica,
-            startId = last.startId,
-            cold = last.cold,
+            startId = latest.startId,
+            cold = latest.cold,
             leaving = isLeaving,
             reachable = isReachable,
-            freeTokens = if (last.memoryCapacityTokens == 0L) 0 else free.tokens,
+            freeTokens = if (latest.memoryCapacityTokens == 0L) 0 else free.tokens,
             freeRequests = if (canGrant()) free.requests else 0,
-            stepMillis = last.stepMillis,
+            stepMillis = latest.stepMillis,
             ageMillis = if (report == null) 0 else nowMillis - reportMillis,
-            models = last.models,
-            preemptions = last.preemptions,
-            capacityTokens = last.memoryCapacityTokens,
+            models = latest.models,
+            preemptions = latest.preemptions,
+            capacityTokens = latest.memoryCapacityTokens,
         )
     }
 
@@ -245,13 +252,13 @@
     }
 
     private companion object {
-        /** Credits are taken back while requests were refused this recently. */
-        const val PRESSED_MILLIS = 2_000L
+        /** No credit is granted while the last refusal is more recent than this. */
+        const val CONTENTION_MILLIS = 2_000L
 
-        /** An inheritance this recent makes a search for unknown load needless. */
-        const val INHERITED_MILLIS = 10_000L
+        /** An inheritance received this recently makes the check for unexplained load unnecessary. */
+        const val RECENT_INHERITANCE_MILLIS = 10_000L
 
-        /** Plain services have no memory to plan with; far from overflow in sums. */
+        /** Token capacity of plain services, which report no memory; small enough that sums do not overflow. */
         const val UNLIMITED_TOKENS = Long.MAX_VALUE / 1_024
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantMember.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantMember.kt
@@ -3,58 +3,58 @@
 import io.sequoiawheel.core.model.InstanceId
 import io.sequoiawheel.core.model.RequestId
 
-/** What a ledger knows of one entry instance. */
+/** The state that a ledger keeps for one entry instance. */
 internal class GrantMember(
     val instance: InstanceId,
 ) {
-    val held = LinkedHashMap<RequestId, Held>()
+    val held = LinkedHashMap<RequestId, HeldReservation>()
     var lastSequence = 0L
     var lastHeardMillis = Long.MIN_VALUE
     var leaseUntilMillis = Long.MIN_VALUE
     var creditStartId = ""
-    var reportedCredit = Room.NONE
-    var answeredCredit = Room.NONE
-    private val issued = ArrayDeque<Issued>()
+    var reportedCredit = Capacity.NONE
+    var answeredCredit = Capacity.NONE
+    private val issuedNonces = ArrayDeque<IssuedNonce>()
 
-    /** The credit that the member may believe to have: the one it reported or the one it was answered. */
-    val chargedCredit: Room get() = reportedCredit.orAtLeast(answeredCredit)
+    /** The largest credit that the member may assume: the reported one or the one in the last answer. */
+    val chargedCredit: Capacity get() = reportedCredit.componentwiseMax(answeredCredit)
 
     fun isRegistered(nowMillis: Long): Boolean = nowMillis < leaseUntilMillis
 
-    fun issue(
+    fun recordNonce(
         nonce: Long,
         nowMillis: Long,
     ) {
-        issued.addLast(Issued(nonce, nowMillis))
-        if (issued.size > REMEMBERED_NONCES) issued.removeFirst()
+        issuedNonces.addLast(IssuedNonce(nonce, nowMillis))
+        if (issuedNonces.size > MAXIMUM_ISSUED_NONCES) issuedNonces.removeFirst()
     }
 
     fun extendLease(
         echo: Long,
         leaseMillis: Long,
     ) {
-        val answer = issued.firstOrNull { it.nonce == echo } ?: return
+        val answer = issuedNonces.firstOrNull { it.nonce == echo } ?: return
         leaseUntilMillis = maxOf(leaseUntilMillis, answer.issuedMillis + leaseMillis)
     }
 
     fun endRegistration() {
         leaseUntilMillis = Long.MIN_VALUE
-        issued.clear()
+        issuedNonces.clear()
     }
 
-    /** A reservation with the time since which the replica works on it. */
-    class Held(
+    /** A reservation and the time at which the replica started on it. */
+    class HeldReservation(
         var reservation: Reservation,
         val sinceMillis: Long,
     )
 
-    private class Issued(
+    private class IssuedNonce(
         val nonce: Long,
         val issuedMillis: Long,
     )
 
     private companion object {
-        /** More than the heartbeats that fit into one lease. */
-        const val REMEMBERED_NONCES = 8
+        /** More than the number of heartbeats in one lease. */
+        const val MAXIMUM_ISSUED_NONCES = 8
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantSettings.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantSettings.kt
@@ -1,16 +1,16 @@
 package io.sequoiawheel.core.grant
 
 /**
- * Times and shares of the grant protocol.
+ * Durations and shares of the grant protocol.
  *
- * @property leaseMillis how long a registration is in force after the ledger issued the nonce that was echoed last
- * @property leaseMarginMillis what a client waits beyond the lease before it registers elsewhere
- * @property grantUseMillis how long after it was asked for a grant may be used
- * @property creditMillis how long a client may use its credit after it sent its last answered heartbeat
- * @property settleMillis how long a ledger without all members waits before it grants; longer than [creditMillis]
- * @property takeoverMillis how long a ledger looks for load that it does not know after it began to grant
- * @property orphanMillis how long reservations of a lost instance stay; at least the resume window
- * @property creditShare share of the free room that is handed out as credit while no request is refused
+ * @property leaseMillis how long a registration lasts after the ledger issued the most recently echoed nonce
+ * @property leaseMarginMillis how long a client waits beyond the lease before it registers elsewhere
+ * @property grantUseMillis how long after its request a grant may be used
+ * @property creditMillis how long a client may use its credit after sending the last heartbeat that was answered
+ * @property settleMillis how long a ledger with missing members waits before it grants; longer than [creditMillis]
+ * @property takeoverMillis how long a ledger checks for unexplained load after it began to grant
+ * @property orphanMillis how long reservations of a lost instance are kept; at least the resume window
+ * @property creditShare share of the free capacity that is granted as credit while no request is refused
  */
 data class GrantSettings(
     val leaseMillis: Long = 3_000,
--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantTicket.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantTicket.kt
@@ -1,10 +1,11 @@
 package io.sequoiawheel.core.grant
 
 /**
- * Under which registration, and when, room was asked for. A grant is void if it arrives after the registration has
- * ended or too long after it was asked for, because then another ledger may count without it.
+ * The registration under which capacity was requested, and the time of the request. A grant is invalid if it arrives
+ * after the registration has ended or too long after the request, because another ledger may by then grant the same
+ * capacity without knowing of it.
  */
 data class GrantTicket(
     val registration: Long,
-    val askedMillis: Long,
+    val requestedMillis: Long,
 )
--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantView.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantView.kt
@@ -6,11 +6,11 @@
 import io.sequoiawheel.core.model.ZoneName
 
 /**
- * The membership as a ledger needs it.
+ * The membership that a ledger bases its decisions on.
  *
  * @property isResponsible whether the hosting instance is the granting instance of the replica in its own view
- * @property members entry instances of the replica's zone that may hold room: listed, leaving, or just vanished
- * @property isFresh whether the view was confirmed by the platform within the lag that the instance list may have
+ * @property members entry instances of the replica's zone that may hold capacity: listed, leaving, or recently removed
+ * @property isFresh whether the platform confirmed the instance list less than [FRESH_MILLIS] ago
  */
 data class GrantView(
     val isResponsible: Boolean,
@@ -18,10 +18,13 @@
     val isFresh: Boolean,
 ) {
     companion object {
-        /** Age up to which a confirmed list counts as fresh; with the list's own lag it stays below the hold period. */
+        /**
+         * Age up to which a confirmed list counts as fresh; together with the list's own lag it is below the hold
+         * period.
+         */
         const val FRESH_MILLIS = 5_000L
 
-        /** Returns the granting instance of [replica] in [zone] as [table] sees it, or null without a list. */
+        /** Returns the granting instance of [replica] in [zone] according to [table], or null if it has no list. */
         fun granting(
             table: MembershipTable,
             zone: ZoneName,
@@ -33,8 +36,8 @@
         }
 
         /**
-         * Returns the view of [self] for [replica]. An instance that never had a list is not responsible for anything:
-         * it would take itself for the only one.
+         * Returns the view of [self] for [replica]. An instance that never received a list is not responsible for any
+         * replica, because it would consider itself the only member.
          */
         fun of(
             table: MembershipTable,
--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/LengthCorrection.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/LengthCorrection.kt
@@ -1,12 +1,12 @@
 package io.sequoiawheel.core.grant
 
-/** Predicts again for a generation that reached its prediction without an end. */
+/** Extends the predicted length of a generation that reached its prediction without ending. */
 fun interface LengthCorrection {
     /** Returns the new predicted output length, larger than the produced one. */
     fun predict(reservation: Reservation): Long
 
     companion object {
-        /** Expects half as much again; used where no estimator is at hand. */
+        /** Adds half of the produced length; for use without a length estimator. */
         val HALF_AGAIN =
             LengthCorrection { it.producedTokens + (it.producedTokens / 2).coerceAtLeast(MINIMUM_EXTENSION_TOKENS) }
 
--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/Reservation.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/Reservation.kt
@@ -4,11 +4,11 @@
 import io.sequoiawheel.core.model.WorkspaceName
 
 /**
- * Room for one request at one replica.
+ * Capacity reserved for one request at one replica.
  *
  * @property promptTokens tokens of the prompt; zero for plain calls
- * @property predictedTokens predicted output length in tokens, in all; zero for plain calls
- * @property producedTokens output tokens that exist already, as far as the sender knows
+ * @property predictedTokens predicted total output length in tokens; zero for plain calls
+ * @property producedTokens output tokens produced so far, as known to the sender
  */
 data class Reservation(
     val request: RequestId,
@@ -17,6 +17,6 @@
     val predictedTokens: Long = 0,
     val producedTokens: Long = 0,
 ) {
-    /** The room that the request takes if its prediction holds. */
-    val room: Room get() = Room(promptTokens + maxOf(predictedTokens, producedTokens), 1)
+    /** The capacity that the request uses if the predicted length is correct. */
+    val capacity: Capacity get() = Capacity(promptTokens + maxOf(predictedTokens, producedTokens), 1)
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/UnexplainedLoad.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/UnexplainedLoad.kt
@@ -3,60 +3,68 @@
 import io.sequoiawheel.core.model.LoadReport
 
 /**
- * Compares the load report of a replica with the reservations of a ledger. What the replica runs beyond them belongs to
- * instances that the ledger does not know: those that lost contact, or whose granting instance died. Not thread-safe.
+ * Compares the load reports of a replica with the reservations of a ledger. Requests that the replica runs without a
+ * reservation belong to instances that the ledger does not know: they lost their connection to it, or their granting
+ * instance crashed. Not thread-safe.
  */
 internal class UnexplainedLoad {
-    private val counts = ArrayDeque<Count>()
-    private var watchedUntilMillis = ChargeBook.NEVER_MILLIS
+    private val samples = ArrayDeque<Sample>()
+    private var watchedUntilMillis = CapacityUsage.NEVER_MILLIS
 
     /**
-     * Requests that nobody registered here accounts for. It is the largest count of the last reports, because a
-     * reservation that ended at the replica but not yet here hides one request for a moment.
+     * The number of requests at the replica without a reservation. This is the maximum over the recent reports, because
+     * a request that has ended at the replica but is still reserved here hides another one in a single report.
      */
-    val requests: Int get() = counts.maxOfOrNull { it.requests } ?: 0
+    val requests: Int get() = samples.maxOfOrNull { it.requests } ?: 0
 
-    /** Looks for unexplained load until [untilMillis]. */
-    fun watch(untilMillis: Long) {
+    /** Checks for unexplained load until [untilMillis]. */
+    fun watchUntil(untilMillis: Long) {
         watchedUntilMillis = maxOf(watchedUntilMillis, untilMillis)
     }
 
-    /** Counts [orphans] that were known until now; the next reports tell whether they still run. */
+    /** Adds [orphans] whose reservations were removed; later reports show whether they still run. */
     fun add(
         orphans: Int,
         nowMillis: Long,
     ) {
-        if (orphans > 0) counts.addLast(Count(nowMillis, requests + orphans))
+        if (orphans > 0) samples.addLast(Sample(nowMillis, requests + orphans))
     }
 
-    /** Takes a report and the times since which the known reservations are at the replica. */
+    /** Applies a report. [reservedSinceMillis] holds the start time of each known reservation. */
     fun report(
         report: LoadReport,
-        knownSince: List<Long>,
+        reservedSinceMillis: List<Long>,
         nowMillis: Long,
     ) {
         val sampleMillis = nowMillis - report.ageMillis
-        // A request that was granted just before the sample may not have reached the replica; it must not hide another.
-        val known = knownSince.count { it <= sampleMillis - DISPATCH_MILLIS }
+        // A request granted just before the sample may not have reached the replica yet; it must not hide another one.
+        val knownRequests = reservedSinceMillis.count { it <= sampleMillis - MAXIMUM_DISPATCH_MILLIS }
         val isWatched = nowMillis <= watchedUntilMillis
-        val unknown = if (isWatched) (report.running + report.waiting - known).coerceAtLeast(0) else 0
-        counts.addLast(Count(nowMillis, unknown))
-        counts.removeIf { nowMillis - it.atMillis > KEPT_MILLIS }
+        val unexplainedRequests =
+            if (isWatched) {
+                (report.running + report.waiting - knownRequests).coerceAtLeast(
+                    0,
+                )
+            } else {
+                0
+            }
+        samples.addLast(Sample(nowMillis, unexplainedRequests))
+        samples.removeIf { nowMillis - it.atMillis > RETENTION_MILLIS }
     }
 
-    /** Forgets everything, because the replica started anew. */
-    fun clear() = counts.clear()
+    /** Clears all samples after the replica restarted. */
+    fun clear() = samples.clear()
 
-    private class Count(
+    private class Sample(
         val atMillis: Long,
         val requests: Int,
     )
 
     private companion object {
-        /** Longest usual time from a grant until the request runs at the replica. */
-        const val DISPATCH_MILLIS = 200L
+        /** Longest usual time from a grant until the replica runs the request. */
+        const val MAXIMUM_DISPATCH_MILLIS = 200L
 
         /** Eight reports at the usual interval. */
-        const val KEPT_MILLIS = 4_000L
+        const val RETENTION_MILLIS = 4_000L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/routing/Backoff.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/routing/Backoff.kt
@@ -23,7 +23,7 @@
     }
 
     private companion object {
-        /** Keeps the shift far from overflow. */
+        /** Prevents the shift from overflowing. */
         const val MAXIMUM_DOUBLINGS = 20
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/routing/Ejector.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/routing/Ejector.kt
@@ -1,6 +1,6 @@
 /*
- * Ejection of failing replicas. It acts only on what this entry instance saw itself, so a fault of its own links can
- * eject at most half of the replicas it sees.
+ * Ejection of failing replicas. It is based only on failures that this entry instance observed, some of which may be
+ * faults of its own network; therefore at most half of a group is ejected.
  */
 package io.sequoiawheel.core.routing
 
@@ -8,9 +8,9 @@
 import java.util.concurrent.ConcurrentHashMap
 
 /**
- * Ejects replicas after consecutive failures, for a time that doubles with each ejection. Thread-safe.
+ * Ejects replicas after consecutive failures, for a duration that doubles with each ejection. Thread-safe.
  *
- * @param threshold consecutive failures that eject a replica
+ * @param threshold number of consecutive failures after which a replica is ejected
  * @param baseMillis duration of the first ejection
  * @param maximumMillis longest ejection
  */
@@ -21,17 +21,17 @@
 ) {
     private val records = ConcurrentHashMap<InstanceId, Record>()
 
-    /** Records a success, which ends an ejection and forgets earlier failures. */
-    fun succeeded(replica: InstanceId) {
+    /** Records a success, which ends an ejection and resets the failure count. */
+    fun recordSuccess(replica: InstanceId) {
         records.remove(replica)
     }
 
-    /** Records a failure of [replica] itself; a refusal for lack of room is none. */
-    fun failed(
+    /** Records a failure of [replica]. A refusal for lack of capacity must not be recorded as a failure. */
+    fun recordFailure(
         replica: InstanceId,
         nowMillis: Long,
     ) {
-        records.compute(replica) { _, old -> afterFailure(old ?: Record(), nowMillis) }
+        records.compute(replica) { _, previous -> afterFailure(previous ?: Record(), nowMillis) }
     }
 
     /** Returns when the ejection of [replica] ends, or null if it is not ejected at [nowMillis]. */
@@ -41,8 +41,8 @@
     ): Long? = records[replica]?.untilMillis?.takeIf { it > nowMillis }
 
     /**
-     * Returns the members of [group] that may be used. The group is all replicas of one service in one zone. At most
-     * half of it stays ejected; those whose ejection ends first are used again early.
+     * Returns the members of [group] that may be used. The group contains all replicas of one service in one zone.
+     * At most half of it stays ejected; replicas whose ejection ends first are used again early.
      */
     fun usable(
         group: Collection<InstanceId>,
@@ -57,20 +57,20 @@
         return group.toSet() - ejected.toSet()
     }
 
-    /** Forgets replicas that are not in [known]. */
+    /** Removes the state of replicas that are not in [known]. */
     fun retain(known: Set<InstanceId>) {
         records.keys.retainAll(known)
     }
 
     private fun afterFailure(
-        old: Record,
+        previous: Record,
         nowMillis: Long,
     ): Record {
-        val failures = old.failures + 1
-        val ejects = failures >= threshold && old.untilMillis <= nowMillis
-        if (!ejects) return old.copy(failures = failures)
-        val duration = (baseMillis shl old.ejections.coerceAtMost(MAXIMUM_DOUBLINGS)).coerceAtMost(maximumMillis)
-        return Record(failures, old.ejections + 1, nowMillis + duration)
+        val failures = previous.failures + 1
+        val ejects = failures >= threshold && previous.untilMillis <= nowMillis
+        if (!ejects) return previous.copy(failures = failures)
+        val duration = (baseMillis shl previous.ejections.coerceAtMost(MAXIMUM_DOUBLINGS)).coerceAtMost(maximumMillis)
+        return Record(failures, previous.ejections + 1, nowMillis + duration)
     }
 
     private data class Record(
@@ -80,7 +80,7 @@
     )
 
     private companion object {
-        /** Keeps the shift far from overflow. */
+        /** Prevents the shift from overflowing. */
         const val MAXIMUM_DOUBLINGS = 20
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/routing/PrefixIndex.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/routing/PrefixIndex.kt
@@ -1,14 +1,16 @@
 /*
- * Where prompt prefixes are probably cached. The engines' cache events come late and with gaps, so the index is a hint:
- * it may be wrong in both directions, and the chooser never lets it outweigh memory pressure.
+ * An index of the replicas at which prompt prefixes are probably cached. Cache events of the engines arrive late and
+ * with gaps, so the index may report too many or too few cached blocks. The chooser never lets it outweigh memory
+ * pressure.
  */
 package io.sequoiawheel.core.routing
 
 import io.sequoiawheel.core.model.InstanceId
 
 /**
- * Hash-chain blocks per replica. A block's hash covers all blocks before it, so a cached prefix is a run of known
- * blocks from the first on. Memory is bounded by [maximumBlocks] per replica; the oldest blocks go first. Thread-safe.
+ * The cached hash-chain blocks of each replica. A block's hash covers all preceding blocks, so a cached prefix is an
+ * uninterrupted sequence of known blocks that starts with the first. At most [maximumBlocks] blocks are kept per
+ * replica; the oldest are evicted first. Thread-safe.
  *
  * @param blockTokens tokens per block
  */
@@ -18,7 +20,7 @@
 ) {
     private val replicas = HashMap<InstanceId, Blocks>()
 
-    /** Returns the number of the last event seen of [replica] and its process [startId]; 0 if none. */
+    /** Returns the sequence number of the last event of [replica] and its process [startId]; 0 if there is none. */
     @Synchronized
     fun lastSequence(
         replica: InstanceId,
@@ -26,8 +28,8 @@
     ): Long = replicas[replica]?.takeIf { it.startId == startId }?.sequence ?: 0
 
     /**
-     * Applies one event. Events with a known number are ignored. A gap may hide an eviction: blocks that were not
-     * stored again within the last few gaps no longer count.
+     * Applies one event. Events that were already applied are ignored. A gap may hide an eviction, so a block expires
+     * if it is not stored again within [MAXIMUM_GAPS] gaps.
      */
     @Synchronized
     fun apply(
@@ -40,7 +42,7 @@
         val blocks = replicas[replica]?.takeIf { it.startId == startId } ?: Blocks(startId, maximumBlocks)
         replicas[replica] = blocks
         if (sequence <= blocks.sequence) return
-        if (sequence > blocks.sequence + 1) blocks.age()
+        if (sequence > blocks.sequence + 1) blocks.advanceGeneration()
         blocks.sequence = sequence
         evicted.forEach { blocks.remove(it) }
         stored.forEach { blocks.add(it) }
@@ -56,7 +58,7 @@
         return chain.takeWhile { blocks.contains(it) }.size.toLong() * blockTokens
     }
 
-    /** Forgets replicas that are not in [known]. */
+    /** Removes replicas that are not in [known]. */
     @Synchronized
     fun retain(known: Set<InstanceId>) {
         replicas.keys.retainAll(known)
@@ -82,14 +84,14 @@
             if (generations.size > maximum) generations.remove(generations.keys.first())
         }
 
-        fun age() {
+        fun advanceGeneration() {
             generation++
             generations.values.removeIf { it <= generation - MAXIMUM_GAPS }
         }
     }
 
     private companion object {
-        /** A block that was not stored again during this many gaps is taken for evicted. */
+        /** A block that was not stored again during this many gaps is considered evicted. */
         const val MAXIMUM_GAPS = 4
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/routing/Need.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/routing/ReplicaRequirements.kt
@@ -4,14 +4,14 @@
 import io.sequoiawheel.core.model.ZoneName
 
 /**
- * What one request needs of a replica.
+ * The requirements of one request for a replica.
  *
- * @property zone the zone of the entry instance, which is preferred
- * @property tokens prompt plus predicted output; zero for plain calls
+ * @property zone the zone of the entry instance; replicas in it are preferred
+ * @property tokens prompt tokens plus predicted output tokens; zero for plain calls
  * @property promptTokens the part of [tokens] that a prefix cache can save
  * @property excluded replicas that already refused or failed this request
  */
-data class Need(
+data class ReplicaRequirements(
     val zone: ZoneName,
     val tokens: Long = 0,
     val promptTokens: Long = 0,
--- a/core/src/main/kotlin/io/sequoiawheel/core/routing/ReplicaState.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/routing/ReplicaState.kt
@@ -3,14 +3,14 @@
 import io.sequoiawheel.core.model.InstanceId
 
 /**
- * What a granting instance knows of one replica, as it travels between entry instances.
+ * The state of one replica as its granting instance sends it to other entry instances.
  *
- * @property startId the process identity of the replica; empty if it has never reported
- * @property freeTokens predicted free tokens after every reservation known at the granting instance; may be negative
- * @property freeRequests requests that may still be added under the ramp or the concurrency limit
+ * @property startId the identity of the replica process; empty if it has never reported
+ * @property freeTokens predicted free tokens after all reservations known to the granting instance; may be negative
+ * @property freeRequests number of further requests allowed by the cold-start ramp or the concurrency limit
  * @property stepMillis recent mean duration of one decoding step
- * @property capacityTokens tokens that the replica's memory can hold; zero for plain services and while unknown
- * @property ageMillis age of the load report behind these figures
+ * @property capacityTokens token capacity of the replica's memory; zero for plain services and while unknown
+ * @property ageMillis age of the load report that these values are based on
  */
 data class ReplicaState(
     val replica: InstanceId,
--- a/core/src/main/kotlin/io/sequoiawheel/core/routing/ReplicaView.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/routing/ReplicaView.kt
@@ -4,12 +4,13 @@
 import io.sequoiawheel.core.model.ZoneName
 
 /**
- * One replica as an entry instance sees it when it chooses.
+ * The view of one replica that an entry instance bases its choice on.
  *
- * @property eligible false if the replica is leaving, unreachable, ejected, out with its zone, or lacks the model
- * @property freeTokens predicted free tokens after the instance's own pending work; plain services leave it at zero
- * @property capacityTokens tokens that the replica can hold; zero for plain services
- * @property freeRequests requests that may still be added under the ramp or the concurrency limit
+ * @property eligible false if the replica is leaving, unreachable, ejected, in a zone that is out of service, or lacks
+ *   the model
+ * @property freeTokens predicted free tokens after the pending work of the entry instance; zero for plain services
+ * @property capacityTokens token capacity of the replica; zero for plain services
+ * @property freeRequests number of further requests allowed by the cold-start ramp or the concurrency limit
  */
 data class ReplicaView(
     val replica: InstanceId,
--- a/core/src/main/kotlin/io/sequoiawheel/core/routing/RetryBudget.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/routing/RetryBudget.kt
@@ -3,25 +3,25 @@
 import io.sequoiawheel.core.model.ServiceDocument.RetryPolicy
 
 /**
- * A token bucket that bounds retries and hedged attempts of one service to a share of its first attempts, with a floor
- * per second. Thread-safe.
+ * A token bucket that limits retries and hedged attempts of one service to a share of its first attempts, with a
+ * minimum per second. Thread-safe.
  *
- * @param policy share, floor and the largest number of attempts of one request
+ * @param policy the share, the minimum per second and the maximum number of attempts per request
  */
 class RetryBudget(
     private val policy: RetryPolicy,
 ) {
-    private var tokens = BURST_SECONDS * policy.minimumPerSecond
-    private var earned = 0.0
+    private var floorTokens = BURST_SECONDS * policy.minimumPerSecond
+    private var earnedTokens = 0.0
     private var refilledMillis: Long? = null
 
     /** Records the first attempt of a request. */
     @Synchronized
-    fun firstAttempt() {
-        earned = (earned + policy.ratio).coerceAtMost(MAXIMUM_EARNED)
+    fun recordFirstAttempt() {
+        earnedTokens = (earnedTokens + policy.ratio).coerceAtMost(MAXIMUM_EARNED_TOKENS)
     }
 
-    /** Takes one token and returns true if attempt number [attempt] (the first is 1) may start. */
+    /** Takes one token and returns true if attempt number [attempt], counted from 1, may start. */
     @Synchronized
     fun tryAttempt(
         attempt: Int,
@@ -30,8 +30,8 @@
         refill(nowMillis)
         if (attempt > policy.maximumAttempts) return false
         return when {
-            earned >= 1 -> true.also { earned -= 1 }
-            tokens >= 1 -> true.also { tokens -= 1 }
+            earnedTokens >= 1 -> true.also { earnedTokens -= 1 }
+            floorTokens >= 1 -> true.also { floorTokens -= 1 }
             else -> false
         }
     }
@@ -40,16 +40,16 @@
         val elapsed = nowMillis - (refilledMillis ?: nowMillis)
         refilledMillis = nowMillis
         val added = policy.minimumPerSecond * elapsed.coerceAtLeast(0) / MILLIS_PER_SECOND
-        tokens = (tokens + added).coerceAtMost((BURST_SECONDS * policy.minimumPerSecond).coerceAtLeast(1.0))
+        floorTokens = (floorTokens + added).coerceAtMost((BURST_SECONDS * policy.minimumPerSecond).coerceAtLeast(1.0))
     }
 
     private companion object {
         const val MILLIS_PER_SECOND = 1_000.0
 
-        /** The floor can be saved up for this long. */
+        /** The unused minimum accumulates for at most this long. */
         const val BURST_SECONDS = 10.0
 
-        /** Bounds the retries that a long healthy period can save up for one bad moment. */
-        const val MAXIMUM_EARNED = 100.0
+        /** Limits the retries that accumulate during a long healthy period and could then be used in one burst. */
+        const val MAXIMUM_EARNED_TOKENS = 100.0
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/AbandonedGenerations.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/AbandonedGenerations.kt
@@ -11,47 +11,47 @@
 import java.util.concurrent.ConcurrentHashMap
 
 /**
- * Generations whose caller left. Each is cancelled at its engine after the resume window unless it was resumed here
- * or is read through another entry instance by then, and holds its room here until then. Thread-safe.
+ * Generations whose caller has disconnected. After the resume window each one is cancelled at its engine, unless it was
+ * resumed here or is being read through another entry instance. It holds its capacity here until then. Thread-safe.
  */
 class AbandonedGenerations(
     private val scope: CoroutineScope,
     private val engines: EngineGateway,
 ) {
-    private val waiting = ConcurrentHashMap<RequestId, Entry>()
+    private val entries = ConcurrentHashMap<RequestId, Entry>()
 
-    /** Cancels [generation] after [windowMillis] and then runs [afterwards]. */
+    /** Cancels [generation] after [windowMillis] and then runs [onEnd]. */
     fun add(
         replica: Instance,
         generation: RequestId,
         windowMillis: Long,
-        afterwards: () -> Unit,
+        onEnd: () -> Unit,
     ) {
         val job =
             scope.launch(start = CoroutineStart.LAZY) {
                 delay(windowMillis)
                 engines.cancelUnattended(replica, generation)
             }
-        val entry = Entry(job, afterwards)
-        waiting[generation] = entry
-        job.invokeOnCompletion { if (waiting.remove(generation, entry)) afterwards() }
+        val entry = Entry(job, onEnd)
+        entries[generation] = entry
+        job.invokeOnCompletion { if (entries.remove(generation, entry)) onEnd() }
         job.start()
     }
 
-    /** Stops the cancellation of [generation] and returns what was to run after it; null if it is not waiting here. */
+    /** Stops the pending cancellation of [generation] and returns its `onEnd` callback, or null if there is none. */
     fun reclaim(generation: RequestId): (() -> Unit)? {
-        val entry = waiting.remove(generation) ?: return null
+        val entry = entries.remove(generation) ?: return null
         entry.job.cancel()
-        return entry.afterwards
+        return entry.onEnd
     }
 
-    /** Waits until no generation is left. */
+    /** Suspends until no abandoned generation is left. */
     suspend fun awaitEmpty() {
-        while (waiting.isNotEmpty()) waiting.values.map { it.job }.joinAll()
+        while (entries.isNotEmpty()) entries.values.map { it.job }.joinAll()
     }
 
     private class Entry(
         val job: Job,
-        val afterwards: () -> Unit,
+        val onEnd: () -> Unit,
     )
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/AnnouncingSink.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/AnnouncingSink.kt
@@ -4,8 +4,8 @@
 import io.sequoiawheel.core.model.RequestId
 
 /**
- * Announces a resumed generation with its first token, so that an engine that no longer holds it can still be answered
- * with a refusal.
+ * Delays the announcement of a resumed generation until its first token, so that the caller can still receive an error
+ * if the engine no longer has the generation.
  */
 internal class AnnouncingSink(
     private val replica: Instance,
@@ -22,7 +22,7 @@
         target.onToken(offset, text)
     }
 
-    /** Announces a generation that had no token left to send. */
+    /** Announces the generation if that has not happened yet, even if no token was left to send. */
     suspend fun announce() {
         if (announced) return
         announced = true
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/CallAttempts.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/CallAttempts.kt
@@ -18,7 +18,7 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.AtomicInteger
 
-/** The attempts of one call. Hedged attempts run at the same time and share this object. */
+/** The attempts of one call. Hedged attempts run concurrently and share this object. */
 internal class CallAttempts(
     private val services: PlainGateway,
     private val placement: Placement,
@@ -28,22 +28,22 @@
     private val dispatchIds: (RequestId) -> RequestId,
 ) {
     private val demand = call.demand
-    private val avoided = ConcurrentHashMap.newKeySet<InstanceId>()
+    private val avoidedReplicas = ConcurrentHashMap.newKeySet<InstanceId>()
     private val attempts = AtomicInteger()
 
-    /** Attempts that may have run: dispatched, and not proven otherwise. */
-    private val unproven = AtomicInteger()
+    /** The number of dispatched attempts that are not proven not to have run. */
+    private val possiblyRunAttempts = AtomicInteger()
 
     @Volatile
     private var queueMillis = 0L
 
-    /** Whether no attempt can have run. */
-    val provenNotRun: Boolean get() = unproven.get() == 0
+    /** Whether it is proven that no attempt has run. */
+    val provenNotRun: Boolean get() = possiblyRunAttempts.get() == 0
 
-    /** Runs an idempotent call with retries and, if its document says so, a hedge. */
+    /** Runs an idempotent call with retries and, if its service document sets a delay for it, a hedged attempt. */
     suspend fun runIdempotent(): CallOutcome = withinDeadline { retryWhile { isRetriable } }
 
-    /** Runs a call that may run once; only attempts that are proven not to have run are repeated. */
+    /** Runs a call that must run at most once; it is retried only if no earlier attempt has run. */
     suspend fun runOnce(): CallOutcome = withinDeadline { retryWhile { isRetriable && provenNotRun } }
 
     private suspend fun withinDeadline(block: suspend () -> CallOutcome): CallOutcome {
@@ -54,11 +54,11 @@
     private fun deadlineCode() =
         if (provenNotRun) ResultCode.DEADLINE_BEFORE_DISPATCH else ResultCode.DEADLINE_AFTER_DISPATCH
 
-    private suspend fun retryWhile(mayRepeat: Attempt.() -> Boolean): CallOutcome {
+    private suspend fun retryWhile(canRepeat: Attempt.() -> Boolean): CallOutcome {
         while (true) {
             val attempt = if (call.call.idempotent) hedgedAttempt() else attempt()
             val failure = attempt.failure ?: return attempt.toOutcome()
-            if (!attempt.mayRepeat() || !mayRetry()) return outcome(truthful(failure), attempt.replica)
+            if (!attempt.canRepeat() || !mayRetry()) return outcome(reportableFailure(failure), attempt.replica)
             delay(retries.backoffMillis(attempts.get() + 1))
         }
     }
@@ -66,7 +66,7 @@
     private fun mayRetry() =
         attempts.get() < demand.document.retryBudget.maximumAttempts && retries.tryAcquire(demand.document)
 
-    private fun truthful(failure: Failure): Failure =
+    private fun reportableFailure(failure: Failure): Failure =
         if (provenNotRun || failure.code.work != WorkState.NOT_RUN) {
             failure
         } else {
@@ -79,14 +79,14 @@
         val hedgeAfter = call.call.hedgeAfterMillis ?: return attempt()
         return coroutineScope {
             val first = async { attempt() }
-            val early = withTimeoutOrNull(hedgeAfter) { first.await() }
-            val winner = early ?: hedge(first)
+            val beforeHedge = withTimeoutOrNull(hedgeAfter) { first.await() }
+            val winner = beforeHedge ?: awaitWithHedge(first)
             coroutineContext.cancelChildren()
             winner
         }
     }
 
-    private suspend fun CoroutineScope.hedge(first: Deferred<Attempt>): Attempt {
+    private suspend fun CoroutineScope.awaitWithHedge(first: Deferred<Attempt>): Attempt {
         if (!retries.tryAcquire(demand.document)) return first.await()
         val second = async { attempt() }
         val (earlier, other) =
@@ -99,33 +99,38 @@
 
     private suspend fun attempt(): Attempt {
         attempts.incrementAndGet()
-        val room = placement.place(demand, avoided).getOrElse { return Attempt(it, isRetriable = false) }
-        queueMillis = maxOf(queueMillis, room.queueMillis)
-        avoided += room.replica.id
-        unproven.incrementAndGet()
-        var verdict = Placed.Verdict.CANCELLED
+        val placedRequest =
+            placement
+                .place(
+                    demand,
+                    avoidedReplicas,
+                ).getOrElse { return Attempt(it, isRetriable = false) }
+        queueMillis = maxOf(queueMillis, placedRequest.queueMillis)
+        avoidedReplicas += placedRequest.replica.id
+        possiblyRunAttempts.incrementAndGet()
+        var verdict = PlacedRequest.Verdict.CANCELLED
         try {
-            val attempt = dispatch(room)
+            val attempt = dispatch(placedRequest)
             verdict = attempt.verdict
             return attempt
         } finally {
-            room.finish(verdict, 0)
+            placedRequest.finish(verdict, 0)
         }
     }
 
-    private suspend fun dispatch(room: Placed): Attempt {
+    private suspend fun dispatch(placedRequest: PlacedRequest): Attempt {
         val started = clock.nowMillis()
         return try {
             val request = PlainRequest(dispatchIds(demand.requestId), call.call.name, call.body)
-            val answer = services.call(room.replica, request, demand.deadlineMillis - started)
-            room.onFirstToken(clock.nowMillis() - started)
-            answered(answer, room.replica.id)
+            val answer = services.call(placedRequest.replica, request, demand.deadlineMillis - started)
+            placedRequest.onFirstToken(clock.nowMillis() - started)
+            toAttempt(answer, placedRequest.replica.id)
         } catch (error: DispatchException) {
-            failed(error, room.replica.id)
+            toFailedAttempt(error, placedRequest.replica.id)
         }
     }
 
-    private fun answered(
+    private fun toAttempt(
         answer: PlainAnswer,
         replica: InstanceId,
     ): Attempt {
@@ -135,19 +140,20 @@
         return Attempt(failure, failed, replica, recorded.takeUnless { failed }, verdictOf(failed))
     }
 
-    private fun verdictOf(failed: Boolean) = if (failed) Placed.Verdict.FAILED else Placed.Verdict.COMPLETED
+    private fun verdictOf(failed: Boolean) =
+        if (failed) PlacedRequest.Verdict.FAILED else PlacedRequest.Verdict.COMPLETED
 
-    private fun failed(
+    private fun toFailedAttempt(
         error: DispatchException,
         replica: InstanceId,
     ): Attempt {
         if (error.outcome == DispatchException.Outcome.NOT_RUN) {
-            unproven.decrementAndGet()
+            possiblyRunAttempts.decrementAndGet()
             val refusal = Failure(error.code ?: ResultCode.BACKEND_REFUSED, retryAfterMillis = error.retryAfterMillis)
-            return Attempt(refusal, true, replica, verdict = Placed.Verdict.REFUSED)
+            return Attempt(refusal, true, replica, verdict = PlacedRequest.Verdict.REFUSED)
         }
         val code = error.code ?: unknownCode()
-        return Attempt(Failure(code), true, replica, verdict = Placed.Verdict.FAILED)
+        return Attempt(Failure(code), true, replica, verdict = PlacedRequest.Verdict.FAILED)
     }
 
     private fun Attempt.toOutcome() = outcome(null, replica).copy(answer = answer)
@@ -162,7 +168,7 @@
         val isRetriable: Boolean,
         val replica: InstanceId? = null,
         val answer: Claims.RecordedAnswer? = null,
-        val verdict: Placed.Verdict = Placed.Verdict.CANCELLED,
+        val verdict: PlacedRequest.Verdict = PlacedRequest.Verdict.CANCELLED,
     )
 
     private companion object {
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/CallDemand.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/CallDemand.kt
@@ -5,7 +5,7 @@
 /**
  * One call of a plain service.
  *
- * @property body JSON text that is handed on as it is
+ * @property body JSON text that is forwarded unchanged
  * @property idempotencyKey the caller's key; required for calls that are not idempotent
  */
 data class CallDemand(
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/CallOutcome.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/CallOutcome.kt
@@ -8,8 +8,8 @@
  * How a call ended.
  *
  * @property answer the answer of the backend server; null if there is none
- * @property recorded whether the answer is that of an earlier run with the same key
- * @property queueMillis time spent waiting for room
+ * @property recorded whether the answer was recorded by an earlier run with the same key
+ * @property queueMillis time spent waiting for capacity
  */
 data class CallOutcome(
     val failure: Failure?,
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/CallRunner.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/CallRunner.kt
@@ -19,11 +19,11 @@
 /**
  * Runs calls of plain services. Idempotent calls are retried and hedged within the retry budget; other calls are
  * dispatched under a claim, and dispatched again only after the backend server proved that they did not run. Every
- * function returns an outcome; only the cancellation of the calling coroutine is thrown. Thread-safe.
+ * function returns an outcome and throws only if the calling coroutine is cancelled. Thread-safe.
  *
- * @param scope where claims are settled after the answer
- * @param dispatchIds makes identities that are unique in the deployment, so that an answer cannot be taken for that of
- *   another request which its caller gave the same id
+ * @param scope the scope in which claims are settled after the answer
+ * @param dispatchIds creates ids that are unique in the deployment, so that an answer cannot be mistaken for that of
+ *   another request to which a caller gave the same id
  */
 class CallRunner(
     private val services: PlainGateway,
@@ -34,7 +34,7 @@
     private val scope: CoroutineScope,
     private val dispatchIds: (RequestId) -> RequestId,
 ) {
-    private val settling = SupervisorJob(scope.coroutineContext[Job])
+    private val settlementJob = SupervisorJob(scope.coroutineContext[Job])
 
     /** Runs [call] to its end. */
     suspend fun run(call: CallDemand): CallOutcome {
@@ -47,10 +47,10 @@
     suspend fun outcome(identity: Claims.Identity): CallOutcome =
         claims.outcome(identity).fold({ CallOutcome(it) }, { CallOutcome(null, it, recorded = true) })
 
-    /** Waits until the outcome of every call that ended is settled, or kept for background attempts. */
-    suspend fun awaitSettled() = settling.children.toList().joinAll()
+    /** Suspends until the claim of every ended call is settled or left to background attempts. */
+    suspend fun awaitSettled() = settlementJob.children.toList().joinAll()
 
-    // Once claimed, a call runs to its end even if its caller leaves: the caller can then still ask for the outcome.
+    // A claimed call runs to its end even if its caller disconnects, so that the caller can still query the outcome.
     private suspend fun runClaimed(
         call: CallDemand,
         attempts: CallAttempts,
@@ -79,8 +79,8 @@
         attempts: CallAttempts,
     ): CallOutcome {
         val outcome = attempts.runOnce()
-        // The answer does not wait for the record; a key that is used meanwhile finds the claim in progress.
-        scope.launch(settling) { settle(granted, outcome.answer, attempts.provenNotRun) }
+        // The answer does not wait for the settlement; until then a request with the same key finds the claim in progress.
+        scope.launch(settlementJob) { settle(granted, outcome.answer, attempts.provenNotRun) }
         return outcome
     }
 
@@ -92,7 +92,7 @@
         when {
             answer != null -> claims.complete(granted, answer)
             provenNotRun -> claims.release(granted)
-            else -> claims.loseOutcome(granted)
+            else -> claims.recordOutcomeUnknown(granted)
         }
     }
 
@@ -102,7 +102,7 @@
     }
 
     private companion object {
-        // A claim takes one write of a few milliseconds; three attempts with read-back fit well into this.
+        // A claim is one write of a few milliseconds; three attempts with read-back fit well within this timeout.
         const val CLAIM_TIMEOUT_MILLIS = 5_000L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/Claims.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/Claims.kt
@@ -5,13 +5,15 @@
 import io.sequoiawheel.core.model.ServiceName
 import io.sequoiawheel.core.model.WorkspaceName
 
-/** Permission to run non-idempotent calls, shared by all entry instances. Implementations are thread-safe. */
+/**
+ * The registry of claims to run non-idempotent calls, shared by all entry instances. Implementations are thread-safe.
+ */
 interface Claims {
     /**
      * Claims [identity] for a body with [requestDigest] within [timeoutMillis]. Fails with `CLAIM_STORE_UNAVAILABLE`,
      * `IN_PROGRESS`, `OUTCOME_UNKNOWN` or `IDEMPOTENCY_KEY_REUSED`; the call must not be dispatched then.
      *
-     * @param retentionMillis how long the outcome can be asked for
+     * @param retentionMillis how long the outcome can be queried
      */
     suspend fun claim(
         identity: Identity,
@@ -27,15 +29,15 @@
     )
 
     /** Records that the outcome of a granted claim will never be known. */
-    suspend fun loseOutcome(granted: Decision.Granted)
+    suspend fun recordOutcomeUnknown(granted: Decision.Granted)
 
-    /** Gives a granted claim back after the backend server proved that nothing ran. */
+    /** Releases a granted claim after the backend server proved that the call did not run. */
     suspend fun release(granted: Decision.Granted)
 
     /** Returns the recorded answer, or `OUTCOME_NOT_FOUND`, `IN_PROGRESS`, `OUTCOME_UNKNOWN`. */
     suspend fun outcome(identity: Identity): Either<Failure, RecordedAnswer>
 
-    /** What a key identifies. */
+    /** The identity of a claimed call: its idempotency key within a service, a workspace and a call. */
     data class Identity(
         val service: ServiceName,
         val workspace: WorkspaceName,
@@ -49,12 +51,12 @@
         val body: String,
     )
 
-    /** The answer to a claim. */
+    /** The decision about a claim. */
     sealed interface Decision {
-        /** The caller of [claim] and nobody else may dispatch. */
+        /** Only the caller of [claim] may dispatch the call. */
         interface Granted : Decision
 
-        /** The call ran before with this answer. */
+        /** The call ran earlier with this answer. */
         data class Recorded(
             val answer: RecordedAnswer,
         ) : Decision
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/Demand.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/Demand.kt
@@ -5,12 +5,12 @@
 import io.sequoiawheel.core.model.WorkspaceName
 
 /**
- * What one request asks of the replicas of a service.
+ * The parameters of one request that determine its placement and execution.
  *
- * @property requestKind the kind that the caller named, or the call's name; lengths are learned per kind
+ * @property requestKind the kind given by the caller, or the name of the call; output lengths are learned per kind
  * @property promptTokens estimated tokens of the prompt, 0 for plain calls
  * @property maximumTokens output limit in tokens, 0 for plain calls
- * @property deadlineMillis reading of the monotonic clock by which the request must end
+ * @property deadlineMillis time on the monotonic clock by which the request must end
  */
 data class Demand(
     val requestId: RequestId,
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/DispatchException.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/DispatchException.kt
@@ -3,11 +3,11 @@
 import io.sequoiawheel.core.model.ResultCode
 
 /**
- * A dispatch that did not lead to a complete answer.
+ * A dispatch that did not produce a complete answer.
  *
- * @property outcome what is known of the work at the backend server
- * @property code the result code if the request is not tried again; null for the usual one of [outcome]
- * @property retryAfterMillis when the backend server asked to be tried again, if it did
+ * @property outcome what is known about the work at the backend server
+ * @property code the result code if the request is not retried; null for the default of [outcome]
+ * @property retryAfterMillis the retry delay that the backend server requested, if any
  */
 class DispatchException(
     val outcome: Outcome,
@@ -16,7 +16,7 @@
     val code: ResultCode? = null,
     val retryAfterMillis: Long? = null,
 ) : Exception(message, cause) {
-    /** What is known of the work at the backend server. */
+    /** What is known about the work at the backend server. */
     enum class Outcome {
         /** No byte of the request left this process, or the backend server proved that it did not run. */
         NOT_RUN,
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/EngineGateway.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/EngineGateway.kt
@@ -1,5 +1,5 @@
 /*
- * Backend servers as the decisions see them. Implementations speak HTTP, or are models in virtual time.
+ * The interface to model engines. Implementations use HTTP or simulate engines in virtual time.
  */
 package io.sequoiawheel.core.serving
 
@@ -10,7 +10,7 @@
 import io.sequoiawheel.core.model.RequestId
 import kotlinx.coroutines.flow.Flow
 
-/** Access to model engines. The address always comes from a listed [Instance], never from a caller. */
+/** Access to model engines. Addresses always come from a listed [Instance], never from a caller. */
 interface EngineGateway {
     /**
      * Starts a generation and streams its events from offset 0. Collecting fails with [DispatchException].
@@ -35,8 +35,8 @@
     ): Either<Failure, Unit>
 
     /**
-     * Cancels a generation unless somebody reads it. For a generation whose caller left here and may have resumed it at
-     * another entry instance; implementations without such readers cancel it.
+     * Cancels a generation unless it has a reader. Used for a generation whose caller disconnected from this instance
+     * and may have resumed it at another entry instance. The default implementation always cancels.
      */
     suspend fun cancelUnattended(
         replica: Instance,
@@ -48,7 +48,7 @@
 }
 
 /**
- * What an engine needs to know of a generation. The request id is also the id of the generation.
+ * A request to an engine to start a generation. The request id is also the id of the generation.
  *
  * @property priority higher values are served first
  */
@@ -61,7 +61,7 @@
     val priority: Int,
 )
 
-/** One event of an engine's stream. */
+/** An event in the stream of an engine. */
 sealed interface EngineEvent {
     /** The generation that the event belongs to. */
     val generation: RequestId
@@ -73,7 +73,7 @@
         val text: String,
     ) : EngineEvent
 
-    /** The generation is complete with [tokens] tokens in all. */
+    /** The generation is complete with [tokens] tokens in total. */
     data class Done(
         override val generation: RequestId,
         val tokens: Int,
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/GenerationOutcome.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/GenerationOutcome.kt
@@ -8,9 +8,9 @@
  * How a generation ended.
  *
  * @property failure why it did not complete; null if it did
- * @property tokens tokens delivered by this run, together with those before its first offset
+ * @property tokens tokens delivered by this run plus those before its first offset
  * @property stallMillis time beyond the expected gaps between tokens
- * @property queueMillis time spent waiting for room
+ * @property queueMillis time spent waiting for capacity
  */
 data class GenerationOutcome(
     val failure: Failure?,
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/GenerationRunner.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/GenerationRunner.kt
@@ -17,11 +17,11 @@
 import kotlinx.coroutines.withTimeoutOrNull
 
 /**
- * Runs generations from placement to the last token. Every function returns an outcome; only the cancellation of the
- * calling coroutine is thrown. Thread-safe.
+ * Runs generations from placement to the last token. Every function returns an outcome and throws only if the calling
+ * coroutine is cancelled. Thread-safe.
  *
- * @param scope where engines are told to cancel after the caller has its answer
- * @param generationIds makes identities that are unique in the deployment
+ * @param scope the scope in which generations are cancelled at engines after the caller has its answer
+ * @param generationIds creates ids that are unique in the deployment
  */
 class GenerationRunner(
     private val engines: EngineGateway,
@@ -31,7 +31,7 @@
     private val scope: CoroutineScope,
     private val generationIds: (RequestId) -> RequestId,
 ) {
-    /** The generations whose caller left. */
+    /** The generations whose caller has disconnected. */
     val abandoned = AbandonedGenerations(scope, engines)
 
     /** Runs one generation from its first token. */
@@ -44,7 +44,9 @@
         return withTimeoutOrNull(remaining) { run.execute() } ?: run.onDeadline()
     }
 
-    /** Continues [generation] at [replica] from [offset]. Room is still held by whoever started it. */
+    /**
+     * Continues [generation] at [replica] from [offset]. The entry instance that started it still holds its capacity.
+     */
     suspend fun resume(
         replica: Instance,
         generation: RequestId,
@@ -52,25 +54,25 @@
         document: ServiceDocument,
         sink: GenerationSink,
     ): GenerationOutcome {
-        val returnRoom = abandoned.reclaim(generation) ?: {}
-        val announcing = AnnouncingSink(replica, generation, sink)
+        val releaseCapacity = abandoned.reclaim(generation) ?: {}
+        val announcingSink = AnnouncingSink(replica, generation, sink)
         val silenceLimit = document.deadlines.firstTokenMillis
-        val stream = GenerationStream(engines, clock, replica, generation, offset, silenceLimit, announcing)
+        val stream = GenerationStream(engines, clock, replica, generation, offset, silenceLimit, announcingSink)
         val end =
             try {
                 withTimeoutOrNull(document.deadlines.totalMillis) {
                     val end = stream.run(engines.resume(replica, generation, offset))
-                    if (end == GenerationStream.End.Complete) announcing.announce()
+                    if (end == GenerationStream.End.Complete) announcingSink.announce()
                     end
                 }
-            } catch (error: CallerLeftException) {
-                abandoned.add(replica, generation, document.resumeWindowMillis, returnRoom)
+            } catch (error: CallerDisconnectedException) {
+                abandoned.add(replica, generation, document.resumeWindowMillis, releaseCapacity)
                 return outcome(Failure(ResultCode.CANCELLED), stream, replica)
             } catch (error: CancellationException) {
-                abandoned.add(replica, generation, document.resumeWindowMillis, returnRoom)
+                abandoned.add(replica, generation, document.resumeWindowMillis, releaseCapacity)
                 throw error
             }
-        returnRoom()
+        releaseCapacity()
         return outcome(resumeFailure(end, stream.tokens > offset), stream, replica)
     }
 
@@ -100,19 +102,19 @@
         private val demand: Demand,
         private val sink: GenerationSink,
     ) {
-        private val avoided = mutableSetOf<InstanceId>()
+        private val avoidedReplicas = mutableSetOf<InstanceId>()
         private var attempts = 0
         private var queueMillis = 0L
         private var mayHaveRun = false
         private var mayHaveRunBefore = false
-        private var placed: Placed? = null
+        private var placed: PlacedRequest? = null
         private var generation: RequestId? = null
         private var stream: GenerationStream? = null
 
         suspend fun execute(): GenerationOutcome =
             try {
                 attemptUntilDone()
-            } catch (error: CallerLeftException) {
+            } catch (error: CallerDisconnectedException) {
                 abandon()
                 result(Failure(ResultCode.CANCELLED))
             }
@@ -127,7 +129,7 @@
             while (true) {
                 val failure = attempt() ?: return result(null)
                 val retry = failure.isRetriable && !sink.delivered && mayRetry()
-                if (!retry) return result(truthful(failure.failure))
+                if (!retry) return result(reportableFailure(failure.failure))
                 sink.onRestart()
                 delay(retries.backoffMillis(attempts + 1))
             }
@@ -137,7 +139,7 @@
             attempts < demand.document.retryBudget.maximumAttempts && retries.tryAcquire(demand.document)
 
         // After one attempt that may have run, a later refusal must not claim that nothing did.
-        private fun truthful(failure: Failure): Failure {
+        private fun reportableFailure(failure: Failure): Failure {
             val claimsNothingRan = failure.code.work == WorkState.NOT_RUN
             if (!mayHaveRun || !claimsNothingRan) return failure
             return Failure(ResultCode.STREAM_INTERRUPTED, retryAfterMillis = failure.retryAfterMillis)
@@ -145,19 +147,22 @@
 
         private suspend fun attempt(): AttemptFailure? {
             attempts++
-            val room = placement.place(demand, avoided).getOrElse { return AttemptFailure(it, isRetriable = false) }
-            queueMillis += room.queueMillis
-            placed = room
+            val placedRequest =
+                placement.place(demand, avoidedReplicas).getOrElse {
+                    return AttemptFailure(it, isRetriable = false)
+                }
+            queueMillis += placedRequest.queueMillis
+            placed = placedRequest
             return try {
-                concludeAttempt(room, dispatch(room))
+                concludeAttempt(placedRequest, dispatch(placedRequest))
             } catch (error: TimeoutCancellationException) {
                 cancelAtEngine()
                 throw error
             } catch (error: CancellationException) {
-                // The caller's connection is gone; it may come back within the resume window.
+                // The caller has disconnected and may resume the generation within the resume window.
                 abandon()
                 throw error
-            } catch (error: CallerLeftException) {
+            } catch (error: CallerDisconnectedException) {
                 throw error
             } catch (error: Exception) {
                 cancelAtEngine()
@@ -165,16 +170,17 @@
             }
         }
 
-        private suspend fun dispatch(room: Placed): GenerationStream.End {
+        private suspend fun dispatch(placedRequest: PlacedRequest): GenerationStream.End {
             val id = generationIds(demand.requestId)
             generation = id
-            sink.onAccepted(room.replica, id)
+            sink.onAccepted(placedRequest.replica, id)
             mayHaveRunBefore = mayHaveRun
             mayHaveRun = true
             val limit = demand.document.deadlines.firstTokenMillis
-            val reader = GenerationStream(engines, clock, room.replica, id, 0, limit, sink, room::onFirstToken)
+            val reader =
+                GenerationStream(engines, clock, placedRequest.replica, id, 0, limit, sink, placedRequest::onFirstToken)
             stream = reader
-            return reader.run(engines.start(room.replica, engineRequest(id)))
+            return reader.run(engines.start(placedRequest.replica, engineRequest(id)))
         }
 
         private fun engineRequest(id: RequestId) =
@@ -188,54 +194,54 @@
             )
 
         private fun concludeAttempt(
-            room: Placed,
+            placedRequest: PlacedRequest,
             end: GenerationStream.End,
         ): AttemptFailure? {
             val tokens = stream?.tokens ?: 0
-            avoided += room.replica.id
+            avoidedReplicas += placedRequest.replica.id
             return when (end) {
                 GenerationStream.End.Complete -> {
-                    room.finish(Placed.Verdict.COMPLETED, tokens)
+                    placedRequest.finish(PlacedRequest.Verdict.COMPLETED, tokens)
                     null
                 }
 
                 is GenerationStream.End.Refused -> {
                     mayHaveRun = mayHaveRunBefore
-                    room.finish(Placed.Verdict.REFUSED, 0)
+                    placedRequest.finish(PlacedRequest.Verdict.REFUSED, 0)
                     AttemptFailure(refusal(end.error), isRetriable = true)
                 }
 
                 else -> {
-                    loseAttempt(room, tokens)
+                    failAttempt(placedRequest, tokens)
                     AttemptFailure(Failure(ResultCode.STREAM_INTERRUPTED), isRetriable = true)
                 }
             }
         }
 
-        private fun loseAttempt(
-            room: Placed,
+        private fun failAttempt(
+            placedRequest: PlacedRequest,
             tokens: Int,
         ) {
             val id = generation ?: return
-            scope.launch { engines.cancel(room.replica, id) }
-            room.finish(Placed.Verdict.FAILED, tokens)
+            scope.launch { engines.cancel(placedRequest.replica, id) }
+            placedRequest.finish(PlacedRequest.Verdict.FAILED, tokens)
         }
 
         private fun cancelAtEngine() {
-            val room = placed ?: return
+            val placedRequest = placed ?: return
             val id = generation ?: return
             val tokens = stream?.tokens ?: 0
             scope
-                .launch { engines.cancel(room.replica, id) }
-                .invokeOnCompletion { room.finish(Placed.Verdict.CANCELLED, tokens) }
+                .launch { engines.cancel(placedRequest.replica, id) }
+                .invokeOnCompletion { placedRequest.finish(PlacedRequest.Verdict.CANCELLED, tokens) }
         }
 
         private fun abandon() {
-            val room = placed ?: return
+            val placedRequest = placed ?: return
             val id = generation ?: return
             val tokens = stream?.tokens ?: 0
-            abandoned.add(room.replica, id, demand.document.resumeWindowMillis) {
-                room.finish(Placed.Verdict.CANCELLED, tokens)
+            abandoned.add(placedRequest.replica, id, demand.document.resumeWindowMillis) {
+                placedRequest.finish(PlacedRequest.Verdict.CANCELLED, tokens)
             }
         }
 
@@ -256,7 +262,7 @@
     )
 
     private companion object {
-        /** An engine whose link broke is usually back within this time. */
+        /** An engine whose connection broke is usually reachable again within this time. */
         const val RESUME_RETRY_MILLIS = 1_000L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/GenerationSink.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/GenerationSink.kt
@@ -4,25 +4,25 @@
 import io.sequoiawheel.core.model.RequestId
 
 /**
- * Where the tokens of one generation go. Functions suspend while the caller does not keep up and throw
- * [CallerLeftException] once it is gone.
+ * The receiver of the tokens of one generation. Functions suspend while the caller reads too slowly and throw
+ * [CallerDisconnectedException] once it has disconnected.
  */
 interface GenerationSink {
-    /** Whether a token reached the caller, after which no other generation may take the place of this one. */
+    /** Whether a token reached the caller; from then on the generation must not be replaced by another one. */
     val delivered: Boolean
 
-    /** Announces that [generation] was sent to [replica]. Called again if the request moved to another replica. */
+    /** Announces that [generation] is sent to [replica]. Called again if the request moves to another replica. */
     suspend fun onAccepted(
         replica: Instance,
         generation: RequestId,
     )
 
-    /** Takes the token at [offset]; offsets rise by one. */
+    /** Receives the token at [offset]; offsets increase by one. */
     suspend fun onToken(
         offset: Int,
         text: String,
     )
 
-    /** Drops every token taken so far. Called only while [delivered] is false. */
+    /** Discards all tokens received so far. Called only while [delivered] is false. */
     fun onRestart()
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/GenerationStream.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/GenerationStream.kt
@@ -14,9 +14,9 @@
 import kotlinx.coroutines.launch
 
 /**
- * Reads one generation from one replica to its end. Broken and silent connections are replaced by a resume from the
- * next offset at the same replica. Tokens go from the connection to the sink without a buffer in between, so that a
- * slow caller stops the reading of its own connection and nothing else.
+ * Reads one generation from one replica to its end. A broken or silent connection is replaced by resuming from the next
+ * offset at the same replica. Tokens pass from the connection to the sink without a buffer, so that a slow caller
+ * blocks only its own connection.
  */
 internal class GenerationStream(
     private val engines: EngineGateway,
@@ -31,19 +31,19 @@
     private val relay = TokenRelay(generation, firstOffset)
     private val detector = StallDetector()
 
-    /** Since when the engine is waited for; [CALLER_TURN] while the sink takes a token. */
+    /** The time since which the stream waits for the engine; [SINK_BUSY] while the sink processes a token. */
     @Volatile
-    private var waitingSince = CALLER_TURN
+    private var waitingSince = SINK_BUSY
     private var progressMillis = clock.nowMillis()
     private var timeoutFactor = 1L
 
-    /** Tokens of the generation that the sink took, including those before the first offset. */
+    /** The number of tokens delivered to the sink, plus those before the first offset. */
     val tokens: Int get() = relay.nextOffset
 
-    /** Time beyond the expected gaps so far. */
+    /** The total time so far by which gaps between tokens exceeded the expected ones. */
     val stalledMillis: Long get() = detector.stalledMillis
 
-    /** Reads [connection], then resumed ones, until the generation ends or cannot be continued. */
+    /** Reads [connection] and then resumed connections until the generation ends or cannot be continued. */
     suspend fun run(connection: Flow<EngineEvent>): End {
         var end = read(connection)
         if (end is End.Refused) return end
@@ -60,7 +60,7 @@
         return end
     }
 
-    // A resume that is refused says nothing about the generation, only about the connection.
+    // A refused resume applies only to the connection and does not show that the generation did not run.
     private fun End.afterResume(): End = if (this is End.Refused) End.Broken(progressed = false) else this
 
     private suspend fun read(connection: Flow<EngineEvent>): End =
@@ -88,14 +88,14 @@
         return End.Broken(progressed, silent = true)
     }
 
-    /** Returns once the engine has been silent for the timeout. One timer runs per timeout, not per token. */
+    /** Returns once the engine has been silent for the timeout. Uses one timer per timeout instead of one per token. */
     private suspend fun awaitSilence() {
         while (true) {
             val timeout = detector.timeoutMillis * timeoutFactor
             val since = waitingSince
-            val left = if (since == CALLER_TURN) timeout else since + timeout - clock.nowMillis()
-            if (left <= 0) return
-            delay(left)
+            val remaining = if (since == SINK_BUSY) timeout else since + timeout - clock.nowMillis()
+            if (remaining <= 0) return
+            delay(remaining)
         }
     }
 
@@ -136,25 +136,25 @@
         val arrival = clock.nowMillis()
         detector.onToken(arrival)
         if (token.offset == firstOffset) onFirstToken(arrival - progressMillis)
-        waitingSince = CALLER_TURN
+        waitingSince = SINK_BUSY
         sink.onToken(token.offset, token.text)
         val delivered = clock.nowMillis()
-        if (delivered - arrival > CALLER_DELAY_MILLIS) detector.skipGap()
+        if (delivered - arrival > SLOW_SINK_MILLIS) detector.skipGap()
         progressMillis = delivered
         waitingSince = delivered
     }
 
-    /** How the reading of a generation ended. */
+    /** How reading a generation ended. */
     sealed interface End {
         /** Every token was delivered. */
         data object Complete : End
 
-        /** The replica never took the generation. */
+        /** The replica did not accept the generation. */
         data class Refused(
             val error: DispatchException,
         ) : End
 
-        /** The replica does not know the generation any more. */
+        /** The replica no longer has the generation. */
         data object Gone : End
 
         /** The replica cannot be reached or stays silent. */
@@ -169,17 +169,17 @@
         ) : End
     }
 
-    private class SilenceException : CancellationException("the engine fell silent")
+    private class SilenceException : CancellationException("the engine sent nothing within the timeout")
 
     private companion object {
-        const val CALLER_TURN = Long.MIN_VALUE
+        const val SINK_BUSY = Long.MIN_VALUE
 
-        // Five attempts over about 1.5 s bridge the restart of a switch port, but not that of a process.
+        // Five attempts over about 1.5 s outlast the restart of a switch port, but not that of a process.
         const val MAXIMUM_FAILED_RESUMES = 5
         const val RESUME_DELAY_MILLIS = 25L
 
-        // An engine that preempted a generation is silent although the connection is sound.
+        // An engine that preempted a generation sends nothing although the connection works.
         const val MAXIMUM_TIMEOUT_FACTOR = 8L
-        const val CALLER_DELAY_MILLIS = 5L
+        const val SLOW_SINK_MILLIS = 5L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/PlainGateway.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/PlainGateway.kt
@@ -12,7 +12,7 @@
      * Sends one call and returns its answer. Throws [DispatchException]; an answer that belongs to another request
      * id is reported as `UNKNOWN`, never returned.
      *
-     * @param deadlineMillis milliseconds left for the call
+     * @param deadlineMillis time left for the call, in milliseconds
      */
     suspend fun call(
         replica: Instance,
--- a/core/src/test/kotlin/io/sequoiawheel/core/admission/AdmissionLincheckTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/admission/AdmissionLincheckTest.kt
@@ -16,7 +16,7 @@
     fun offer(
         @Param(name = "workspace") workspace: Int,
     ): Boolean =
-        queue.offer(QueuedRequest(workspace, WorkspaceName("w$workspace"), 1, 10L * workspace), 0) is Offer.Queued
+        queue.offer(QueuedRequest(workspace, WorkspaceName("w$workspace"), 1, 10L * workspace), 0) is OfferResult.Queued
 
     @Operation
     fun poll(): Int? = queue.poll(0)?.item
@@ -29,14 +29,14 @@
     @Operation
     fun queued(): Int = queue.queued
 
-    /** Guards against requests that are lost, doubled or served out of order when coroutines race. */
+    /** Guards against requests that are lost, duplicated or served out of order under concurrent access. */
     @Test
     fun `the fair queue is linearizable`() = options().check(this::class)
 }
 
 @Param(name = "tokens", gen = IntGen::class, conf = "1:3")
 class LengthEstimatorLincheckTest {
-    private val estimator = LengthEstimator(maximumGroups = 2, windowSamples = 2, minimumSamples = 1)
+    private val estimator = LengthEstimator(maximumHistories = 2, windowSamples = 2, minimumSamples = 1)
     private val key = LengthKey(ServiceName("writers"), WorkspaceName("w"), "letter")
 
     @Operation
@@ -47,7 +47,7 @@
     @Operation
     fun median(): Int = estimator.quantile(key, 0, 0.5)
 
-    /** Guards against a histogram that is read while another coroutine rotates it. */
+    /** Guards against reading a histogram while another thread rotates it. */
     @Test
     fun `the length estimator is linearizable`() = options().check(this::class)
 }
@@ -67,12 +67,12 @@
     @Operation
     fun value(): Double = factor.value(0)
 
-    /** Guards against a lost decrease when two load reports arrive at once. */
+    /** Guards against a lost decrease when two load reports arrive concurrently. */
     @Test
     fun `the safety factor is linearizable`() = options().check(this::class)
 }
 
-/** A queue operation has many switch points; 100 schedules per scenario keep this file to some seconds. */
+/** Queue operations have many switch points; 100 schedules per scenario limit the run time of this file to seconds. */
 private fun options() =
     ModelCheckingOptions()
         .iterations(5)
--- a/core/src/test/kotlin/io/sequoiawheel/core/admission/FairQueueTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/admission/FairQueueTest.kt
@@ -18,9 +18,9 @@
 
     private fun drain(count: Int) = List(count) { queue.poll(0)!!.workspace.value }
 
-    /** Guards against a workspace that gets more than its share by sending first or sending more. */
+    /** Guards against a workspace that gets more than its share by sending earlier or more requests. */
     @Test
-    fun `service follows weights and tokens and not the number of requests`() {
+    fun `service is proportional to weights and tokens, not to the number of requests`() {
         repeat(12) { queue.offer(request("large", cost = 100), 0) }
         repeat(6) { queue.offer(request("heavy", cost = 100, weight = 2), 0) }
         queue.offer(request("small", cost = 100), 0)
@@ -28,7 +28,7 @@
         assertEquals(mapOf("large" to 3, "heavy" to 5, "small" to 1), served)
     }
 
-    /** Guards against estimates that let a workspace of long outputs pay for short ones. */
+    /** Guards against charging a workspace with long outputs only for its short estimates. */
     @Test
     fun `actual tokens beyond the estimate are charged`() {
         repeat(4) { queue.offer(request("long"), 0) }
@@ -38,31 +38,31 @@
         assertEquals(listOf("short", "short", "short"), drain(3))
     }
 
-    /** Guards against a full queue of one workspace that locks all others out. */
+    /** Guards against one workspace that fills the queue and blocks all others. */
     @Test
-    fun `a full queue gives up the newest request of the longest workspace`() {
+    fun `a full queue drops the newest request of the workspace with the most requests`() {
         repeat(25) { queue.offer(request("flood"), 0) }
         repeat(5) { queue.offer(request("other"), 0) }
-        val offer = queue.offer(request("small"), 0) as Offer.Queued
+        val offer = queue.offer(request("small"), 0) as OfferResult.Queued
         assertEquals("flood-item", offer.displaced!!.item)
         assertEquals(ResultCode.QUEUE_FULL, offer.failure!!.code)
         assertEquals(30, queue.queued)
     }
 
-    /** Guards against a request that waits for its deadline only to be rejected then. */
+    /** Guards against queueing a request that cannot be served before its deadline. */
     @Test
-    fun `a request that cannot be served in time is rejected at once with a hint`() {
+    fun `a request that cannot be served in time is rejected immediately with a retry delay`() {
         repeat(20) { queue.offer(request("busy", cost = 1_000), 0) }
         repeat(5) { queue.poll(it * 1_000L) }
-        val late = queue.offer(request("busy", deadline = 6_000), 4_000) as Offer.Rejected
+        val late = queue.offer(request("busy", deadline = 6_000), 4_000) as OfferResult.Rejected
         assertEquals(ResultCode.DEADLINE_BEFORE_DISPATCH, late.failure.code)
         assertTrue(late.failure.retryAfterMillis!! > 1_000)
-        assertTrue(queue.offer(request("small", cost = 100, deadline = 6_000), 4_000) is Offer.Queued)
+        assertTrue(queue.offer(request("small", cost = 100, deadline = 6_000), 4_000) is OfferResult.Queued)
     }
 
-    /** Guards against requests that stay queued beyond the bound. */
+    /** Guards against requests that stay queued beyond the maximum wait. */
     @Test
-    fun `a request expires at the earlier of its deadline and the bound of the queue`() {
+    fun `a request expires at the earlier of its deadline and the maximum wait of the queue`() {
         queue.offer(request("first", deadline = 500), 0)
         queue.offer(request("second"), 0)
         assertEquals(listOf("first-item"), queue.expire(500).map { it.item })
@@ -70,7 +70,7 @@
         assertEquals(0, queue.queued)
     }
 
-    /** Guards against a polled request that no replica took losing its place or being charged twice. */
+    /** Guards against a polled request that no replica accepted losing its place or being charged twice. */
     @Test
     fun `a restored request is the next one again`() {
         queue.offer(request("first"), 0)
@@ -80,9 +80,9 @@
         assertEquals(listOf("first", "second"), drain(2))
     }
 
-    /** Guards against memory that grows with every workspace ever seen. */
+    /** Guards against memory use that grows with the number of workspaces seen. */
     @Test
-    fun `remembered workspaces are bounded`() {
+    fun `the number of workspaces kept is bounded`() {
         val bounded = FairQueue<String>(QueueLimits(maximumWorkspaces = 50))
         repeat(4_200) { index ->
             bounded.offer(request("w$index"), 0)
--- a/core/src/test/kotlin/io/sequoiawheel/core/admission/MemoryPredictorTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/admission/MemoryPredictorTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test
 
 class MemoryPredictorTest {
-    /** Guards against a shortcut in the sum over ends that misses the true peak. */
+    /** Guards against a peak computation that misses the true peak because it looks only at the predicted ends. */
     @Test
     fun `the peak equals that of a step by step simulation`() {
         val random = RandomSource.XO_RO_SHI_RO_128_PP.create(11)
@@ -19,7 +19,9 @@
         }
     }
 
-    /** Guards against a factor that ignores preemptions, or takes a restart's reset counter for one. */
+    /**
+     * Guards against a factor that ignores preemptions, or mistakes the new counter after a restart for a preemption.
+     */
     @Test
     fun `the safety factor decreases by a tenth on a preemption`() {
         val factor = SafetyFactor(initial = 0.9)
@@ -31,7 +33,7 @@
         assertEquals(0.81, factor.value(7_000), 1e-9)
     }
 
-    /** Guards against a factor that rises while nobody needs it, or never recovers from a preemption. */
+    /** Guards against a factor that rises without demand, or never recovers from a preemption. */
     @Test
     fun `the safety factor rises only while requests are denied`() {
         val factor = SafetyFactor(initial = 0.8, maximum = 0.9, recoveryPerSecond = 0.01, demandMillis = 1_000)
--- a/core/src/test/kotlin/io/sequoiawheel/core/admission/ReplicaMemoryTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/admission/ReplicaMemoryTest.kt
@@ -24,7 +24,7 @@
         nowMillis: Long,
     ) = memory.reserve(RequestId("r$id"), 100, GenerationForecast(100, remaining), nowMillis)
 
-    /** Guards against a sum that admits by present use and fills the memory while requests decode. */
+    /** Guards against admission by current use, which lets the memory fill up while requests decode. */
     @Test
     fun `a request is admitted only if the expected peak fits`() {
         assertTrue(reserve(1, listOf(500, 500), 0))
@@ -35,7 +35,9 @@
         assertTrue(reserve(3, listOf(500, 500), 3_000))
     }
 
-    /** Guards against two prompts in one step, which delays both first tokens and every running generation. */
+    /**
+     * Guards against computing two prompts in one step, which delays both first tokens and every running generation.
+     */
     @Test
     fun `a second prompt waits until the first is probably computed`() {
         assertTrue(reserve(1, listOf(10, 10), 0))
@@ -43,7 +45,7 @@
         assertTrue(reserve(2, listOf(10, 10), 40))
     }
 
-    /** Guards against reservations beyond the batch that the replica reports. */
+    /** Guards against reservations beyond the maximum concurrency that the replica reports. */
     @Test
     fun `the concurrency limit holds`() {
         assertTrue((0..2).all { reserve(it, listOf(1, 1), it * 100L) })
@@ -51,7 +53,7 @@
         assertEquals(0, memory.freeRequests)
     }
 
-    /** Guards against an expectation that counts every generation in full at each of its quantiles. */
+    /** Guards against counting every generation in full at each of its quantiles. */
     @Test
     fun `the expected peak is the mean over the quantiles`() {
         val forecasts = List(10) { GenerationForecast(100, listOf(50, 150)) }
@@ -76,7 +78,7 @@
     @Operation
     fun freeRequests(): Int = memory.freeRequests
 
-    /** Guards against two coroutines that both get the last room of a replica. */
+    /** Guards against two concurrent reservations that both take the last free capacity of a replica. */
     @Test
     fun `the replica's memory is linearizable`() =
         ModelCheckingOptions()
--- a/core/src/test/kotlin/io/sequoiawheel/core/grant/GrantLedgerLincheckTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/grant/GrantLedgerLincheckTest.kt
@@ -11,7 +11,7 @@
 import org.jetbrains.lincheck.datastructures.StressOptions
 import org.junit.jupiter.api.Test
 
-/** Guards against two concurrent reservations that both take the last room. */
+/** Guards against two concurrent reservations that both take the last free capacity. */
 @Param(name = "request", gen = IntGen::class, conf = "1:4")
 class GrantLedgerLincheckTest {
     private val host = InstanceId("host")
@@ -34,7 +34,7 @@
     ) = ledger.release(host, id(request))
 
     @Operation
-    fun charged(): Room = ledger.charged(NOW_MILLIS)
+    fun charged(): Capacity = ledger.charged(NOW_MILLIS)
 
     @Test
     fun `concurrent reservations are linearizable`() =
@@ -50,7 +50,7 @@
     private fun heartbeat(
         sequence: Long,
         echo: Long,
-    ) = GrantHeartbeat(host, sequence, echo, "s", Room.NONE, emptyList(), isComplete = true)
+    ) = GrantHeartbeat(host, sequence, echo, "s", Capacity.NONE, emptyList(), isComplete = true)
 
     private companion object {
         const val NOW_MILLIS = 1_500L
--- a/core/src/test/kotlin/io/sequoiawheel/core/grant/GrantPolicy.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/grant/GrantPolicy.kt
@@ -4,7 +4,7 @@
 import io.sequoiawheel.core.model.LoadReport
 import io.sequoiawheel.core.model.ServiceDocument.ColdStartPolicy
 
-/** What one entry instance of a [GrantWorld] decides. Messages are delivered by the world. */
+/** The admission policy of one entry instance in a [GrantSimulation], which delivers its messages. */
 internal interface GrantPolicy {
     fun tick(
         view: GrantView,
@@ -17,13 +17,13 @@
         nowMillis: Long,
     )
 
-    /** Returns whether [reservation] may be sent at once, without asking anybody. */
-    fun admitAlone(
+    /** Returns whether the request of [reservation] may be dispatched without asking another instance. */
+    fun admitLocally(
         reservation: Reservation,
         nowMillis: Long,
     ): Boolean
 
-    /** Sends a request for room; [onGranted] runs when the request may be dispatched. */
+    /** Asks for capacity; [onGranted] runs when the request may be dispatched. */
     fun ask(
         reservation: Reservation,
         nowMillis: Long,
@@ -36,11 +36,11 @@
     )
 }
 
-/** Each instance admits against capacity divided by the live instances that it knows. */
-internal class NaiveSplit(
-    private val world: GrantWorld,
+/** Each instance admits against the capacity divided by the number of live instances that it knows. */
+internal class EvenSplitPolicy(
+    private val simulation: GrantSimulation,
 ) : GrantPolicy {
-    private var count = 1
+    private var memberCount = 1
     private var used = 0L
 
     override fun tick(
@@ -48,7 +48,7 @@
         granting: InstanceId,
         nowMillis: Long,
     ) {
-        count = world.listedBy(view)
+        memberCount = simulation.memberCount(view)
     }
 
     override fun report(
@@ -56,12 +56,12 @@
         nowMillis: Long,
     ) = Unit
 
-    override fun admitAlone(
+    override fun admitLocally(
         reservation: Reservation,
         nowMillis: Long,
     ): Boolean {
-        if (used + reservation.room.tokens > GrantWorld.CAPACITY / count) return false
-        used += reservation.room.tokens
+        if (used + reservation.capacity.tokens > GrantSimulation.CAPACITY / memberCount) return false
+        used += reservation.capacity.tokens
         return true
     }
 
@@ -75,13 +75,13 @@
         reservation: Reservation,
         nowMillis: Long,
     ) {
-        used -= reservation.room.tokens
+        used -= reservation.capacity.tokens
     }
 }
 
-/** Registered shares without credits: a member that loses contact counts its share again after the term. */
-internal class RegisteredShares(
-    private val world: GrantWorld,
+/** Registered shares without credits: a disconnected member admits from its share although the ledger counts it too. */
+internal class RegisteredSharePolicy(
+    private val simulation: GrantSimulation,
     private val self: InstanceId,
 ) : GrantPolicy {
     private val registered = HashMap<InstanceId, Long>()
@@ -102,11 +102,11 @@
         if (nowMillis < nextHeartbeatMillis) return
         nextHeartbeatMillis = nowMillis + 1_000
         val outstanding = own.toList()
-        world.send(self, granting) { now ->
-            val ledger = world.policyOf(granting) as RegisteredShares
+        simulation.send(self, granting) { now ->
+            val ledger = simulation.policyOf(granting) as RegisteredSharePolicy
             ledger.registered[self] = now
             outstanding.forEach { ledger.reserved[it] = self }
-            world.send(granting, self) { lastAnswerMillis = it }
+            simulation.send(granting, self) { lastAnswerMillis = it }
         }
     }
 
@@ -115,13 +115,17 @@
         nowMillis: Long,
     ) = Unit
 
-    override fun admitAlone(
+    override fun admitLocally(
         reservation: Reservation,
         nowMillis: Long,
     ): Boolean {
-        val isAlone = nowMillis - lastAnswerMillis > 3_000
-        val used = own.sumOf { it.room.tokens }
-        if (!isAlone || used + reservation.room.tokens > GrantWorld.CAPACITY / view.members.size) return false
+        val isDisconnected = nowMillis - lastAnswerMillis > 3_000
+        val used = own.sumOf { it.capacity.tokens }
+        if (!isDisconnected ||
+            used + reservation.capacity.tokens > GrantSimulation.CAPACITY / view.members.size
+        ) {
+            return false
+        }
         return own.add(reservation)
     }
 
@@ -131,9 +135,9 @@
         onGranted: (Long) -> Unit,
     ) {
         val receiver = granting
-        world.send(self, receiver) { now ->
-            val isGranted = (world.policyOf(receiver) as RegisteredShares).reserve(self, reservation, now)
-            world.send(receiver, self) { answered ->
+        simulation.send(self, receiver) { now ->
+            val isGranted = (simulation.policyOf(receiver) as RegisteredSharePolicy).reserve(self, reservation, now)
+            simulation.send(receiver, self) { answered ->
                 if (isGranted && own.add(reservation)) onGranted(answered)
             }
         }
@@ -145,8 +149,8 @@
         nowMillis: Long,
     ): Boolean {
         registered.values.removeIf { nowMillis - it > 2_000 }
-        val bound = GrantWorld.CAPACITY * registered.size.coerceAtMost(view.members.size) / view.members.size
-        val fits = reserved.keys.sumOf { it.room.tokens } + reservation.room.tokens <= bound
+        val bound = GrantSimulation.CAPACITY * registered.size.coerceAtMost(view.members.size) / view.members.size
+        val fits = reserved.keys.sumOf { it.capacity.tokens } + reservation.capacity.tokens <= bound
         if (fits) reserved[reservation] = instance
         return fits
     }
@@ -156,13 +160,16 @@
         nowMillis: Long,
     ) {
         own -= reservation
-        world.send(self, granting) { (world.policyOf(granting) as RegisteredShares).reserved -= reservation }
+        simulation.send(self, granting) {
+            (simulation.policyOf(granting) as RegisteredSharePolicy).reserved -=
+                reservation
+        }
     }
 }
 
-/** The scheme of this package. */
-internal class LedgerAndClient(
-    private val world: GrantWorld,
+/** The policy under test: [GrantLedger] and [GrantClient]. */
+internal class LedgerPolicy(
+    private val simulation: GrantSimulation,
     private val self: InstanceId,
 ) : GrantPolicy {
     private val settings = GrantSettings()
@@ -179,10 +186,10 @@
         if (nowMillis < nextHeartbeatMillis) return
         nextHeartbeatMillis = nowMillis + 1_000
         val (receiver, heartbeat) = client.nextHeartbeat(granting, nowMillis, ledger.inheritance(nowMillis))
-        world.send(self, receiver) { now ->
-            val answer = (world.policyOf(receiver) as LedgerAndClient).ledger.heartbeat(heartbeat, now)
-            world.send(receiver, self) { answered ->
-                client.answered(receiver, answer, answered)
+        simulation.send(self, receiver) { now ->
+            val answer = (simulation.policyOf(receiver) as LedgerPolicy).ledger.heartbeat(heartbeat, now)
+            simulation.send(receiver, self) { answered ->
+                client.onAnswer(receiver, answer, answered)
                 if (heartbeat.echo == 0L) nextHeartbeatMillis = answered
             }
         }
@@ -193,7 +200,7 @@
         nowMillis: Long,
     ) = ledger.report(report, nowMillis)
 
-    override fun admitAlone(
+    override fun admitLocally(
         reservation: Reservation,
         nowMillis: Long,
     ): Boolean = client.admitFromCredit(reservation, client.state?.startId ?: "", nowMillis)
@@ -203,33 +210,36 @@
         nowMillis: Long,
         onGranted: (Long) -> Unit,
     ) {
-        val receiver = client.granter(nowMillis) ?: return
-        val ticket = client.ask(reservation.request, nowMillis) ?: return
-        world.send(self, receiver) { now ->
-            val remote = (world.policyOf(receiver) as LedgerAndClient).ledger
+        val receiver = client.grantingInstance(nowMillis) ?: return
+        val ticket = client.issueTicket(reservation.request, nowMillis) ?: return
+        simulation.send(self, receiver) { now ->
+            val remote = (simulation.policyOf(receiver) as LedgerPolicy).ledger
             val result = remote.reserve(self, reservation, now)
-            world.send(receiver, self) { answered -> take(result, reservation, ticket, answered, onGranted) }
+            simulation.send(
+                receiver,
+                self,
+            ) { answered -> applyResult(result, reservation, ticket, answered, onGranted) }
         }
     }
 
-    private fun take(
+    private fun applyResult(
         result: ReserveResult,
         reservation: Reservation,
         ticket: GrantTicket,
         nowMillis: Long,
         onGranted: (Long) -> Unit,
     ) {
-        if (result != ReserveResult.GRANTED) return client.refused(reservation.request)
-        if (client.granted(reservation, ticket, nowMillis)) onGranted(nowMillis)
+        if (result != ReserveResult.GRANTED) return client.onRefused(reservation.request)
+        if (client.acceptGrant(reservation, ticket, nowMillis)) onGranted(nowMillis)
     }
 
     override fun finished(
         reservation: Reservation,
         nowMillis: Long,
     ) {
-        val receiver = client.finished(reservation.request) ?: return
-        world.send(self, receiver) {
-            (world.policyOf(receiver) as LedgerAndClient).ledger.release(self, reservation.request)
+        val receiver = client.onFinished(reservation.request) ?: return
+        simulation.send(self, receiver) {
+            (simulation.policyOf(receiver) as LedgerPolicy).ledger.release(self, reservation.request)
         }
     }
 
--- a/core/src/test/kotlin/io/sequoiawheel/core/grant/GrantWorld.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/grant/GrantSimulation.kt
@@ -1,6 +1,7 @@
 /*
- * A zone in virtual time: entry instances before one replica, with lagging lists, lost and late messages, crashes,
- * unreachable instances and a zone without its platform. The world counts what really runs at the replica.
+ * Simulates a zone in virtual time: several entry instances and one replica, with stale instance lists, lost and
+ * delayed messages, crashes, unreachable instances and platform outages. It tracks the requests that actually run at
+ * the replica.
  */
 package io.sequoiawheel.core.grant
 
@@ -16,9 +17,9 @@
 import org.apache.commons.rng.simple.RandomSource
 import java.util.PriorityQueue
 
-internal class GrantWorld(
+internal class GrantSimulation(
     seed: Long,
-    private val newPolicy: (GrantWorld, InstanceId) -> GrantPolicy,
+    private val newPolicy: (GrantSimulation, InstanceId) -> GrantPolicy,
 ) {
     private val random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
     private val zone = ZoneName("a")
@@ -57,9 +58,9 @@
 
     fun policyOf(instance: InstanceId): GrantPolicy = nodes.getValue(instance).policy
 
-    fun listedBy(view: GrantView): Int = view.members.size
+    fun memberCount(view: GrantView): Int = view.members.size
 
-    /** Delivers [action] late, rarely very late, or not at all. */
+    /** Delivers [action] with a short delay, rarely with a long one, or not at all. */
     fun send(
         from: InstanceId,
         to: InstanceId,
@@ -71,7 +72,7 @@
                 random.nextInt(200) == 0 -> 1_000 + random.nextLong(9_000)
                 else -> 1 + random.nextLong(20)
             }
-        val isLost = isCut(from) || isCut(to) || random.nextInt(200) == 0
+        val isLost = isIsolated(from) || isIsolated(to) || random.nextInt(200) == 0
         if (from != to && isLost) return
         at(now + delay) { if (to in nodes) action(it) }
     }
@@ -81,7 +82,7 @@
         while (now < durationMillis) {
             now += TICK_MILLIS
             while (events.isNotEmpty() && events.peek().atMillis <= now) events.poll().let { it.action(now) }
-            disturb()
+            injectFault()
             samples.addLast(sample())
             if (samples.size > REPORT_LAG_TICKS) samples.removeFirst()
             nodes.values.toList().forEach { act(it) }
@@ -103,7 +104,7 @@
         val id = RequestId("${node.instance.id}-${requests++}")
         val reservation = Reservation(id, WorkspaceName("w"), 100, 100 + random.nextLong(1_900))
         val dispatch = { at: Long -> dispatch(node, reservation, at) }
-        if (node.policy.admitAlone(reservation, now)) dispatch(now) else node.policy.ask(reservation, now, dispatch)
+        if (node.policy.admitLocally(reservation, now)) dispatch(now) else node.policy.ask(reservation, now, dispatch)
     }
 
     private fun dispatch(
@@ -113,7 +114,7 @@
     ) {
         running[reservation.request] = reservation
         dispatched++
-        val total = running.values.sumOf { it.room.tokens }
+        val total = running.values.sumOf { it.capacity.tokens }
         peakTokens = maxOf(peakTokens, total)
         val isLong = random.nextInt(10) == 0
         at(atMillis + 200 + random.nextLong(if (isLong) 60_000 else 4_000)) {
@@ -122,7 +123,7 @@
         }
     }
 
-    private fun disturb() {
+    private fun injectFault() {
         if (now < WARM_UP_MILLIS) return
         val node = nodes.values.elementAt(random.nextInt(nodes.size))
         when (random.nextInt(2_000)) {
@@ -142,7 +143,7 @@
         nodes[id] = Node(instance, newPolicy(this, id), random.nextLong(4_000))
     }
 
-    // The engine goes on with the generations of a crashed instance to their end.
+    // The engine runs the generations of a crashed instance to their end.
     private fun crash(id: InstanceId) {
         nodes -= id
         at(now + random.nextLong(3_000)) { platform -= id }
@@ -155,7 +156,7 @@
         at(now + node.lagMillis) { node.table.apply(update, it) }
     }
 
-    private fun isCut(id: InstanceId): Boolean = nodes[id]?.let { now < it.isolatedUntil } ?: true
+    private fun isIsolated(id: InstanceId): Boolean = nodes[id]?.let { now < it.isolatedUntil } ?: true
 
     private fun sample() =
         LoadReport(
--- a/core/src/test/kotlin/io/sequoiawheel/core/routing/PrefixIndexTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/routing/PrefixIndexTest.kt
@@ -7,9 +7,9 @@
 class PrefixIndexTest {
     private val replica = InstanceId("r")
 
-    /** Guards against a prefix that counts although a block in its middle is gone. */
+    /** Guards against counting a prefix as cached although a block within it was evicted. */
     @Test
-    fun `only a run of blocks from the first counts, until gaps or a restart end it`() {
+    fun `only uninterrupted leading blocks count, until gaps or a restart invalidate them`() {
         val index = PrefixIndex(maximumBlocks = 10)
         index.apply(replica, "s1", 1, listOf(1, 2, 3), emptyList())
         assertEquals(48, index.cachedTokens(replica, listOf(1, 2, 3, 4)))
@@ -22,9 +22,9 @@
         assertEquals(0, index.lastSequence(replica, "s1"))
     }
 
-    /** Guards against unbounded memory under a stream of new prompts. */
+    /** Guards against unbounded memory use under a stream of new prompts. */
     @Test
-    fun `the oldest blocks go first`() {
+    fun `the oldest blocks are evicted first`() {
         val index = PrefixIndex(maximumBlocks = 10)
         (1L..30L).forEach { index.apply(replica, "s", it, listOf(it), emptyList()) }
         assertEquals(0, index.cachedTokens(replica, listOf(20)))
--- a/core/src/test/kotlin/io/sequoiawheel/core/serving/GenerationRunnerTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/serving/GenerationRunnerTest.kt
@@ -32,7 +32,9 @@
     private fun replica(name: String) =
         Instance(InstanceId(name), Instance.Role.BACKEND, ZoneName("z"), "r", "127.0.0.1:1", document.service)
 
-    /** Guards against a stalled link ending or repeating a stream that the engine still holds. */
+    /**
+     * Guards against ending or restarting a stream whose connection stalled while the engine still has the generation.
+     */
     @Test
     fun `a silent connection is resumed at the same engine`() =
         runTest {
@@ -49,7 +51,7 @@
             assertEquals(listOf("a" to 0, "a" to 3), engine.connections)
         }
 
-    /** Guards against a second generation being appended after tokens of a first one were delivered (P1). */
+    /** Guards against appending a second generation after tokens of a first one were delivered (P1). */
     @Test
     fun `a generation lost after its first token is not restarted`() =
         runTest {
@@ -65,7 +67,7 @@
             assertTrue(engine.connections.all { it.first == "a" })
         }
 
-    /** Guards against giving up, or claiming `not run`, while another replica could serve an undelivered generation. */
+    /** Guards against failing a generation without delivered tokens while another replica could serve it. */
     @Test
     fun `an undelivered generation moves to another replica`() =
         runTest {
@@ -80,7 +82,7 @@
             assertEquals(listOf("a" to 0, "b" to 0), engine.connections)
         }
 
-    /** Guards against a generation that keeps its engine's memory after its caller's deadline. */
+    /** Guards against a generation that occupies engine memory after its deadline. */
     @Test
     fun `the deadline cancels the generation`() =
         runTest {
@@ -95,9 +97,9 @@
             assertEquals(1, engine.cancelled)
         }
 
-    /** Guards against answering `not run` for a generation that ran, because its engine refuses a connection (P5). */
+    /** Guards against answering `not run` for a generation that ran because the engine refused the resume (P5). */
     @Test
-    fun `a refused resume never says that the generation did not run`() =
+    fun `a refused resume is never reported as a generation that did not run`() =
         runTest {
             val engine =
                 ScriptedEngine {
@@ -125,18 +127,18 @@
         override suspend fun place(
             demand: Demand,
             avoided: Set<InstanceId>,
-        ): Either<Failure, Placed> = FixedPlaced(replicas.first { it.id !in avoided }).right()
+        ): Either<Failure, PlacedRequest> = FixedPlaced(replicas.first { it.id !in avoided }).right()
     }
 
     private class FixedPlaced(
         override val replica: Instance,
-    ) : Placed {
+    ) : PlacedRequest {
         override val queueMillis = 0L
 
         override fun onFirstToken(elapsedMillis: Long) = Unit
 
         override fun finish(
-            verdict: Placed.Verdict,
+            verdict: PlacedRequest.Verdict,
             tokens: Int,
         ) = Unit
     }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/RegistryClaims.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/RegistryClaims.kt
@@ -36,7 +36,7 @@
         registry.complete(ticketOf(granted), ClaimAnswer(ResultCode.OK.number, answer.status, answer.body))
     }
 
-    override suspend fun loseOutcome(granted: Claims.Decision.Granted) {
+    override suspend fun recordOutcomeUnknown(granted: Claims.Decision.Granted) {
         registry.complete(ticketOf(granted), ClaimAnswer(ResultCode.OUTCOME_UNKNOWN.number))
     }
 
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ServiceRetries.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ServiceRetries.kt
@@ -17,7 +17,7 @@
     private val budgets = ConcurrentHashMap<ServiceName, Budget>()
     private val backoff = Backoff()
 
-    override fun onFirstAttempt(document: ServiceDocument) = budgetOf(document).firstAttempt()
+    override fun onFirstAttempt(document: ServiceDocument) = budgetOf(document).recordFirstAttempt()
 
     override fun tryAcquire(document: ServiceDocument): Boolean =
         budgetOf(document).tryAttempt(SECOND_ATTEMPT, clock.nowMillis())
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/StreamResponse.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/StreamResponse.kt
@@ -6,7 +6,7 @@
 import io.ktor.server.response.respondBytesWriter
 import io.sequoiawheel.core.model.Failure
 import io.sequoiawheel.core.model.ResultCode
-import io.sequoiawheel.core.serving.CallerLeftException
+import io.sequoiawheel.core.serving.CallerDisconnectedException
 import io.sequoiawheel.core.serving.GenerationOutcome
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.Deferred
@@ -64,7 +64,7 @@
         if (outcome.code == ResultCode.CANCELLED) return
         try {
             sink.finish(lastEvent(exchange, outcome))
-        } catch (error: CallerLeftException) {
+        } catch (error: CallerDisconnectedException) {
             // The generation is complete and its tokens can still be resumed; nobody is left to be told.
             return
         }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/StreamSink.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/StreamSink.kt
@@ -4,7 +4,7 @@
 import io.ktor.utils.io.writeStringUtf8
 import io.sequoiawheel.core.model.Instance
 import io.sequoiawheel.core.model.RequestId
-import io.sequoiawheel.core.serving.CallerLeftException
+import io.sequoiawheel.core.serving.CallerDisconnectedException
 import io.sequoiawheel.core.serving.GenerationSink
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.CompletableDeferred
@@ -69,9 +69,9 @@
             target.flush()
         } catch (error: CancellationException) {
             currentCoroutineContext().ensureActive()
-            throw CallerLeftException(error)
+            throw CallerDisconnectedException(error)
         } catch (error: Exception) {
-            throw CallerLeftException(error)
+            throw CallerDisconnectedException(error)
         }
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantHeartbeats.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantHeartbeats.kt
@@ -31,7 +31,7 @@
             val replicas = replicas()
             rooms.retain(replicas.map { it.id }.toSet())
             sendHeartbeats(replicas)
-            val isSettled = replicas.all { rooms.client(it.id).granter(clock.nowMillis()) != null }
+            val isSettled = replicas.all { rooms.client(it.id).grantingInstance(clock.nowMillis()) != null }
             delay(if (isSettled) INTERVAL_MILLIS else JOINING_MILLIS)
         }
     }
@@ -71,7 +71,7 @@
     ) {
         val answers = if (receiver == self.id) answerSelf(heartbeats) else peers.heartbeat(receiver, heartbeats)
         val now = clock.nowMillis()
-        answers.forEach { (replica, answer) -> rooms.client(replica).answered(receiver, answer, now) }
+        answers.forEach { (replica, answer) -> rooms.client(replica).onAnswer(receiver, answer, now) }
         if (answers.isNotEmpty()) onAnswers()
     }
 
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantLedgers.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantLedgers.kt
@@ -62,7 +62,7 @@
         document: ServiceDocument,
         entry: Entry,
     ) {
-        val report = readLoad(replica, document) ?: return entry.ledger.unreachable()
+        val report = readLoad(replica, document) ?: return entry.ledger.markUnreachable()
         val now = clock.nowMillis()
         entry.safety.report(report.startId, report.preemptions, now)
         entry.ledger.report(report, now)
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantMessages.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantMessages.kt
@@ -1,9 +1,9 @@
 package io.sequoiawheel.daemon.placement
 
+import io.sequoiawheel.core.grant.Capacity
 import io.sequoiawheel.core.grant.GrantAnswer
 import io.sequoiawheel.core.grant.GrantHeartbeat
 import io.sequoiawheel.core.grant.Reservation
-import io.sequoiawheel.core.grant.Room
 import io.sequoiawheel.core.model.InstanceId
 import io.sequoiawheel.core.model.RequestId
 import io.sequoiawheel.core.model.WorkspaceName
@@ -65,7 +65,7 @@
         sequence = message.sequence,
         echo = message.echo,
         startId = message.startId,
-        credit = Room(message.creditTokens, message.creditRequests),
+        credit = Capacity(message.creditTokens, message.creditRequests),
         reservations = message.outstandingList.map(::fromMessage),
         isComplete = message.complete,
         finished = message.finishedList.mapTo(HashSet()) { RequestId(it) },
@@ -91,7 +91,7 @@
             nonce = reply.nonce,
             sequence = reply.sequence,
             startId = reply.startId,
-            credit = Room(reply.creditTokens, reply.creditRequests),
+            credit = Capacity(reply.creditTokens, reply.creditRequests),
             limit = reply.limit,
             state = fromMessage(reply.state),
         )
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantPeers.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantPeers.kt
@@ -45,7 +45,7 @@
             response == null -> null
             response.granted -> ReserveResult.GRANTED
             response.notResponsible -> ReserveResult.NOT_RESPONSIBLE
-            else -> ReserveResult.NO_ROOM
+            else -> ReserveResult.NO_CAPACITY
         }
     }
 
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantPlane.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantPlane.kt
@@ -66,7 +66,7 @@
             ledgers.ledger(InstanceId(it.replica))?.release(sender, RequestId(it.requestId))
         }
         request.firstTokensList.forEach {
-            ledgers.ledger(InstanceId(it.replica))?.firstToken(it.millis.toLong(), clock.nowMillis())
+            ledgers.ledger(InstanceId(it.replica))?.recordFirstToken(it.millis.toLong(), clock.nowMillis())
         }
         placement.signal()
     }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantRooms.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantRooms.kt
@@ -11,7 +11,7 @@
 import io.sequoiawheel.core.routing.Ejector
 import io.sequoiawheel.core.routing.ReplicaState
 import io.sequoiawheel.core.routing.ReplicaView
-import io.sequoiawheel.core.serving.Placed
+import io.sequoiawheel.core.serving.PlacedRequest
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.AtomicLong
 
@@ -64,12 +64,12 @@
     ): RoomSource.Room? {
         val client = client(candidate.id)
         val reservation = reservationOf(need)
-        val ticket = client.ask(reservation.request, clock.nowMillis())
+        val ticket = client.issueTicket(reservation.request, clock.nowMillis())
         val result = if (ticket == null) null else ask(candidate, client, reservation)
         val isHeld =
             when (result) {
-                ReserveResult.GRANTED -> ticket != null && client.granted(reservation, ticket, clock.nowMillis())
-                ReserveResult.NO_ROOM -> false.also { client.refused(reservation.request) }
+                ReserveResult.GRANTED -> ticket != null && client.acceptGrant(reservation, ticket, clock.nowMillis())
+                ReserveResult.NO_CAPACITY -> false.also { client.onRefused(reservation.request) }
                 else -> fromCredit(client, reservation)
             }
         return if (isHeld) HeldRoom(candidate, client, reservation.request) else null
@@ -80,7 +80,7 @@
         client: GrantClient,
         reservation: Reservation,
     ): ReserveResult? {
-        val granter = client.granter(clock.nowMillis()) ?: return null
+        val granter = client.grantingInstance(clock.nowMillis()) ?: return null
         if (granter != self.id) return peers.reserve(granter, candidate.id, reservation)
         return ledgers.ledger(candidate.id)?.reserve(self.id, reservation, clock.nowMillis())
     }
@@ -129,21 +129,21 @@
         private val request: RequestId,
     ) : RoomSource.Room {
         override fun onFirstToken(elapsedMillis: Long) {
-            val granter = client.granter(clock.nowMillis()) ?: return
+            val granter = client.grantingInstance(clock.nowMillis()) ?: return
             if (granter == self.id) {
-                ledgers.ledger(replica.id)?.firstToken(elapsedMillis, clock.nowMillis())
+                ledgers.ledger(replica.id)?.recordFirstToken(elapsedMillis, clock.nowMillis())
             } else {
                 peers.firstToken(granter, replica.id, elapsedMillis)
             }
         }
 
         override fun finish(
-            verdict: Placed.Verdict,
+            verdict: PlacedRequest.Verdict,
             tokens: Int,
         ) {
-            if (verdict == Placed.Verdict.COMPLETED) ejector.succeeded(replica.id)
-            if (verdict == Placed.Verdict.FAILED) ejector.failed(replica.id, clock.nowMillis())
-            val granter = client.finished(request) ?: return
+            if (verdict == PlacedRequest.Verdict.COMPLETED) ejector.recordSuccess(replica.id)
+            if (verdict == PlacedRequest.Verdict.FAILED) ejector.recordFailure(replica.id, clock.nowMillis())
+            val granter = client.onFinished(request) ?: return
             if (granter == self.id) {
                 ledgers.ledger(replica.id)?.release(self.id, request)
             } else {
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/QueuedPlacement.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/QueuedPlacement.kt
@@ -15,7 +15,7 @@
 import io.sequoiawheel.core.model.ZoneName
 import io.sequoiawheel.core.routing.ReplicaChooser
 import io.sequoiawheel.core.serving.Demand
-import io.sequoiawheel.core.serving.Placed
+import io.sequoiawheel.core.serving.PlacedRequest
 import io.sequoiawheel.core.serving.Placement
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.CoroutineScope
@@ -42,7 +42,7 @@
     override suspend fun place(
         demand: Demand,
         avoided: Set<InstanceId>,
-    ): Either<Failure, Placed> {
+    ): Either<Failure, PlacedRequest> {
         val need = needOf(demand, avoided)
         tooLarge(need)?.let { return it.left() }
         val queue = queueOf(demand.document)
@@ -107,20 +107,20 @@
         private val need: RoomNeed,
         private val queue: ServiceQueue,
         override val queueMillis: Long,
-    ) : Placed {
+    ) : PlacedRequest {
         private val finished = AtomicBoolean()
         override val replica = room.replica
 
         override fun onFirstToken(elapsedMillis: Long) = room.onFirstToken(elapsedMillis)
 
         override fun finish(
-            verdict: Placed.Verdict,
+            verdict: PlacedRequest.Verdict,
             tokens: Int,
         ) {
             if (!finished.compareAndSet(false, true)) return
             room.finish(verdict, tokens)
             val isGeneration = need.demand.maximumTokens > 0
-            if (isGeneration && verdict == Placed.Verdict.COMPLETED) lengths.record(keyOf(need.demand), tokens)
+            if (isGeneration && verdict == PlacedRequest.Verdict.COMPLETED) lengths.record(keyOf(need.demand), tokens)
             if (isGeneration) queue.correct(need, need.demand.promptTokens.toLong() + tokens)
             signal()
         }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/RoomSource.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/RoomSource.kt
@@ -3,7 +3,7 @@
 import io.sequoiawheel.core.model.Instance
 import io.sequoiawheel.core.model.InstanceId
 import io.sequoiawheel.core.routing.ReplicaView
-import io.sequoiawheel.core.serving.Placed
+import io.sequoiawheel.core.serving.PlacedRequest
 
 /** Where requests get room at replicas. Implementations are thread-safe. */
 internal interface RoomSource {
@@ -35,7 +35,7 @@
         fun onFirstToken(elapsedMillis: Long)
 
         fun finish(
-            verdict: Placed.Verdict,
+            verdict: PlacedRequest.Verdict,
             tokens: Int,
         )
     }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/ServiceQueue.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/ServiceQueue.kt
@@ -1,7 +1,7 @@
 package io.sequoiawheel.daemon.placement
 
 import io.sequoiawheel.core.admission.FairQueue
-import io.sequoiawheel.core.admission.Offer
+import io.sequoiawheel.core.admission.OfferResult
 import io.sequoiawheel.core.admission.QueueLimits
 import io.sequoiawheel.core.admission.QueuedRequest
 import io.sequoiawheel.core.model.Clock
@@ -9,8 +9,8 @@
 import io.sequoiawheel.core.model.ResultCode
 import io.sequoiawheel.core.model.ServiceDocument
 import io.sequoiawheel.core.model.ZoneName
-import io.sequoiawheel.core.routing.Need
 import io.sequoiawheel.core.routing.ReplicaChooser
+import io.sequoiawheel.core.routing.ReplicaRequirements
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.withTimeoutOrNull
 
@@ -46,8 +46,8 @@
             )
         waiter.queued = request
         return when (val offer = queue.offer(request, clock.nowMillis())) {
-            is Offer.Rejected -> offer.failure
-            is Offer.Queued -> {
+            is OfferResult.Rejected -> offer.failure
+            is OfferResult.Queued -> {
                 offer.displaced?.item?.refuse(offer.failure ?: Failure(ResultCode.QUEUE_FULL))
                 signal()
                 null
@@ -104,7 +104,7 @@
         }
         val refused = HashSet(avoidable(need, candidates))
         repeat(MAXIMUM_ASKED) {
-            val request = Need(zone, need.tokens, need.demand.promptTokens.toLong(), refused)
+            val request = ReplicaRequirements(zone, need.tokens, need.demand.promptTokens.toLong(), refused)
             val chosen = chooser.choose(candidates.map { it.view }, request) { rooms.cachedTokens(it, need) }
             val candidate = candidates.firstOrNull { it.instance.id == chosen?.replica } ?: return false
             val room = rooms.reserve(candidate.instance, need)
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/Waiter.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/Waiter.kt
@@ -5,7 +5,7 @@
 import arrow.core.right
 import io.sequoiawheel.core.admission.QueuedRequest
 import io.sequoiawheel.core.model.Failure
-import io.sequoiawheel.core.serving.Placed
+import io.sequoiawheel.core.serving.PlacedRequest
 import kotlinx.coroutines.CompletableDeferred
 
 /** One request that waits for room. Exactly one of room, refusal or withdrawal takes effect. Thread-safe. */
@@ -26,13 +26,13 @@
 
     /** Hands [room] over, or gives it back if the caller has left. */
     fun grant(room: RoomSource.Room) {
-        if (!result.complete(room.right())) room.finish(Placed.Verdict.CANCELLED, 0)
+        if (!result.complete(room.right())) room.finish(PlacedRequest.Verdict.CANCELLED, 0)
     }
 
     /** Ends the waiting because the caller left; room that was granted meanwhile is given back. */
     suspend fun withdraw() {
         if (!result.completeExceptionally(WithdrawnException())) {
-            result.await().onRight { it.finish(Placed.Verdict.CANCELLED, 0) }
+            result.await().onRight { it.finish(PlacedRequest.Verdict.CANCELLED, 0) }
         }
     }
 
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/AtMostOnceWorld.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/AtMostOnceWorld.kt
@@ -18,7 +18,7 @@
 import io.sequoiawheel.core.serving.CallRunner
 import io.sequoiawheel.core.serving.Claims
 import io.sequoiawheel.core.serving.Demand
-import io.sequoiawheel.core.serving.Placed
+import io.sequoiawheel.core.serving.PlacedRequest
 import io.sequoiawheel.core.serving.Placement
 import io.sequoiawheel.core.serving.Retries
 import io.sequoiawheel.experiment.virtual.VirtualTime
@@ -166,7 +166,7 @@
             override suspend fun place(
                 demand: Demand,
                 avoided: Set<InstanceId>,
-            ): Either<Failure, Placed> {
+            ): Either<Failure, PlacedRequest> {
                 val local = replicas[entry.slot % ZONES]
                 val replica = local.takeIf { it.id !in avoided } ?: replicas.firstOrNull { it.id !in avoided } ?: local
                 return Room(replica).right()
@@ -175,13 +175,13 @@
 
     private class Room(
         override val replica: Instance,
-    ) : Placed {
+    ) : PlacedRequest {
         override val queueMillis = 0L
 
         override fun onFirstToken(elapsedMillis: Long) = Unit
 
         override fun finish(
-            verdict: Placed.Verdict,
+            verdict: PlacedRequest.Verdict,
             tokens: Int,
         ) = Unit
     }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/ClaimPolicies.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/ClaimPolicies.kt
@@ -44,7 +44,7 @@
         registry.complete((granted as Granted).ticket, ClaimAnswer(ResultCode.OK.number, answer.status, answer.body))
     }
 
-    override suspend fun loseOutcome(granted: Claims.Decision.Granted) {
+    override suspend fun recordOutcomeUnknown(granted: Claims.Decision.Granted) {
         registry.complete((granted as Granted).ticket, ClaimAnswer(ResultCode.OUTCOME_UNKNOWN.number))
     }
 
@@ -76,7 +76,7 @@
         answer: Claims.RecordedAnswer,
     ) = Unit
 
-    override suspend fun loseOutcome(granted: Claims.Decision.Granted) = Unit
+    override suspend fun recordOutcomeUnknown(granted: Claims.Decision.Granted) = Unit
 
     override suspend fun release(granted: Claims.Decision.Granted) = Unit
 
@@ -129,7 +129,7 @@
         api.put(granted.key.objectKey, instance.value + ANSWERED + answer.body, granted.version)
     }
 
-    override suspend fun loseOutcome(granted: Claims.Decision.Granted) = Unit
+    override suspend fun recordOutcomeUnknown(granted: Claims.Decision.Granted) = Unit
 
     override suspend fun release(granted: Claims.Decision.Granted) {
         granted as Granted
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/ControlSlopes.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/ControlSlopes.kt
@@ -10,11 +10,11 @@
 import io.sequoiawheel.core.admission.QueuedRequest
 import io.sequoiawheel.core.configuration.AcceptedDocument
 import io.sequoiawheel.core.configuration.AppliedConfiguration
+import io.sequoiawheel.core.grant.Capacity
 import io.sequoiawheel.core.grant.GrantHeartbeat
 import io.sequoiawheel.core.grant.GrantLedger
 import io.sequoiawheel.core.grant.GrantView
 import io.sequoiawheel.core.grant.Reservation
-import io.sequoiawheel.core.grant.Room
 import io.sequoiawheel.core.membership.MembershipTable
 import io.sequoiawheel.core.membership.MembershipUpdate
 import io.sequoiawheel.core.model.Instance
@@ -153,7 +153,7 @@
         sequence: Long,
         echo: Long,
         held: List<Reservation>,
-    ) = GrantHeartbeat(self.id, sequence, echo, "replica-0-1", Room.NONE, held, isComplete = held.isNotEmpty())
+    ) = GrantHeartbeat(self.id, sequence, echo, "replica-0-1", Capacity.NONE, held, isComplete = held.isNotEmpty())
 
     private fun entry(index: Int) =
         Instance(
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/GrantedPolicy.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/GrantedPolicy.kt
@@ -13,8 +13,8 @@
 import io.sequoiawheel.core.model.ServiceName
 import io.sequoiawheel.core.model.ZoneName
 import io.sequoiawheel.core.routing.Ejector
-import io.sequoiawheel.core.routing.Need
 import io.sequoiawheel.core.routing.ReplicaChooser
+import io.sequoiawheel.core.routing.ReplicaRequirements
 import io.sequoiawheel.core.routing.ReplicaView
 import io.sequoiawheel.experiment.ExperimentReport
 import io.sequoiawheel.experiment.simulation.DispatchPolicy
@@ -81,7 +81,7 @@
     override fun ended(request: SimulatedRequest) {
         if (request.state == SimulatedRequest.State.DONE) {
             keys[request.arrival.request.generation]?.let { lengths.record(it, request.produced) }
-            ejector(request).succeeded(grantsOf(request).id)
+            ejector(request).recordSuccess(grantsOf(request).id)
         }
         if (request.state == SimulatedRequest.State.FAILED) lostBy(request)
         lost.remove(request)
@@ -98,7 +98,7 @@
     }
 
     private fun lostBy(request: SimulatedRequest) {
-        ejector(request).failed(grantsOf(request).id, service.loop.nowMillis)
+        ejector(request).recordFailure(grantsOf(request).id, service.loop.nowMillis)
     }
 
     private fun ejector(request: SimulatedRequest) = ejectors.getOrPut(request.arrival.entry) { Ejector() }
@@ -111,7 +111,7 @@
         val id = request.arrival.request.generation
         observe(request, replica)
         keys.remove(id)
-        replica.clients[entry].finished(id)
+        replica.clients[entry].onFinished(id)
         service.loop.schedule(replica.delayMillis(entry)) {
             replica.ledger.release(ReplicaGrants.entryId(entry), id)
             drain(entry)
@@ -130,7 +130,7 @@
     ) {
         val since = dispatched.remove(request) ?: return
         if (request.produced == 0) return
-        replica.ledger.firstToken((request.firstTokenAt - since).toLong(), service.loop.nowMillis)
+        replica.ledger.recordFirstToken((request.firstTokenAt - since).toLong(), service.loop.nowMillis)
     }
 
     private fun drain(entry: Int) {
@@ -163,7 +163,7 @@
         reservation: Reservation,
     ): Boolean {
         val state = replica.ledger.state(service.loop.nowMillis)
-        return state.freeRequests > 0 && state.freeTokens >= reservation.room.tokens
+        return state.freeRequests > 0 && state.freeTokens >= reservation.capacity.tokens
     }
 
     private fun ask(
@@ -173,15 +173,15 @@
         val now = service.loop.nowMillis
         val reservation = reservation(head.request)
         val need =
-            Need(
+            ReplicaRequirements(
                 ZoneName(service.topology.zoneOf(entry)),
-                reservation.room.tokens,
+                reservation.capacity.tokens,
                 reservation.promptTokens,
                 head.excluded,
             )
         val views = grants.values.mapNotNull { view(it, entry) }
         val chosen = chooser.choose(views, need)?.let { grants.getValue(it.replica) }
-        val ticket = chosen?.clients?.get(entry)?.ask(reservation.request, now)
+        val ticket = chosen?.clients?.get(entry)?.issueTicket(reservation.request, now)
         if (chosen == null || ticket == null) {
             head.excluded.clear()
             return
@@ -221,7 +221,7 @@
         val now = service.loop.nowMillis
         val tickets =
             grants.values.filter(::isOpen).mapNotNull { replica ->
-                replica.clients[entry].ask(reservation.request, now)?.let { replica to it }
+                replica.clients[entry].issueTicket(reservation.request, now)?.let { replica to it }
             }
         if (tickets.isEmpty()) return drain(entry)
         waiting.getValue(entry).remove(head)
@@ -258,8 +258,8 @@
         result: ReserveResult,
     ): Boolean {
         val client = replica.clients[entry]
-        if (result != ReserveResult.GRANTED) client.refused(reservation.request)
-        return result == ReserveResult.GRANTED && client.granted(reservation, ticket, service.loop.nowMillis)
+        if (result != ReserveResult.GRANTED) client.onRefused(reservation.request)
+        return result == ReserveResult.GRANTED && client.acceptGrant(reservation, ticket, service.loop.nowMillis)
     }
 
     private fun giveBack(
@@ -267,7 +267,7 @@
         entry: Int,
         reservation: Reservation,
     ) {
-        replica.clients[entry].finished(reservation.request)
+        replica.clients[entry].onFinished(reservation.request)
         service.loop.schedule(replica.delayMillis(entry)) {
             replica.ledger.release(ReplicaGrants.entryId(entry), reservation.request)
         }
@@ -281,7 +281,7 @@
     ) {
         if (request.state != SimulatedRequest.State.PENDING) {
             val entry = request.arrival.entry
-            chosen.clients[entry].finished(request.arrival.request.generation)
+            chosen.clients[entry].onFinished(request.arrival.request.generation)
             return chosen.ledger.release(ReplicaGrants.entryId(entry), request.arrival.request.generation)
         }
         dispatched[request] = service.loop.now
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/ReplicaGrants.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/ReplicaGrants.kt
@@ -56,7 +56,7 @@
         ledger.update(GrantView(isResponsible = true, members = members.keys, isFresh = true), isLeaving, now)
         val report = replica.loadReport()
         if (report == null) {
-            ledger.unreachable()
+            ledger.markUnreachable()
         } else {
             safety.report(report.startId, report.preemptions, now)
             ledger.report(report, now)
@@ -69,7 +69,7 @@
         service.loop.schedule(delayMillis(entry)) {
             val answer = ledger.heartbeat(heartbeat, service.loop.nowMillis)
             service.loop.schedule(delayMillis(entry)) {
-                client.answered(entryId(granting), answer, service.loop.nowMillis)
+                client.onAnswer(entryId(granting), answer, service.loop.nowMillis)
                 if (heartbeat.echo == 0L && answer.isResponsible) beat(entry)
             }
         }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/SequoiawheelPolicy.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/SequoiawheelPolicy.kt
@@ -37,7 +37,7 @@
     private val reservedAt = HashMap<Int, MutableSet<SimulatedRequest>>()
 
     /** The largest number of workspaces that an entry instance remembers at the end of the run. */
-    val rememberedWorkspaces: Int get() = entries.maxOf { maxOf(it.queue.workspaces, it.estimator.groups) }
+    val rememberedWorkspaces: Int get() = entries.maxOf { maxOf(it.queue.workspaces, it.estimator.historyCount) }
 
     override fun start(service: SimulatedService) {
         this.service = service
@@ -139,7 +139,7 @@
     /** Counts half a memory block beyond the tokens, the mean of the last block's empty part. */
     private fun forecast(request: SimulatedRequest): GenerationForecast {
         val limit = request.arrival.request.maximumTokens
-        val lengths = entries[request.arrival.entry].estimator.spread(keyOf(request), request.produced)
+        val lengths = entries[request.arrival.entry].estimator.forecastQuantiles(keyOf(request), request.produced)
         return GenerationForecast(
             heldTokens = request.heldTokens + service.topology.engine.blockTokens / 2,
             remainingTokens = lengths.map { maxOf(1, minOf(it, limit) - request.produced) },
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/SimulatedEntry.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/SimulatedEntry.kt
@@ -2,14 +2,14 @@
 
 import io.sequoiawheel.core.admission.FairQueue
 import io.sequoiawheel.core.admission.LengthEstimator
-import io.sequoiawheel.core.admission.Offer
+import io.sequoiawheel.core.admission.OfferResult
 import io.sequoiawheel.core.admission.QueueLimits
 import io.sequoiawheel.core.admission.QueuedRequest
 import io.sequoiawheel.core.model.Failure
 import io.sequoiawheel.core.model.ResultCode
 import io.sequoiawheel.core.model.ZoneName
-import io.sequoiawheel.core.routing.Need
 import io.sequoiawheel.core.routing.ReplicaChooser
+import io.sequoiawheel.core.routing.ReplicaRequirements
 import io.sequoiawheel.core.routing.ReplicaView
 import io.sequoiawheel.experiment.simulation.SimulatedReplica
 import io.sequoiawheel.experiment.simulation.SimulatedRequest
@@ -33,8 +33,8 @@
         val deadline = request.arrival.atMillis + SimulatedService.FIRST_TOKEN_DEADLINE_MILLIS
         val queued = QueuedRequest(request, request.arrival.workspace, 1, cost(request), deadline.toLong())
         when (val offer = queue.offer(queued, service.loop.nowMillis)) {
-            is Offer.Rejected -> service.refuse(request, offer.failure)
-            is Offer.Queued -> offer.displaced?.let { service.refuse(it.item, offer.failure!!) }
+            is OfferResult.Rejected -> service.refuse(request, offer.failure)
+            is OfferResult.Queued -> offer.displaced?.let { service.refuse(it.item, offer.failure!!) }
         }
         placeNext()
     }
@@ -86,7 +86,12 @@
             queued.item.arrival.request.promptTokens
                 .toLong()
         val chosen =
-            chooser.choose(candidates.map { views.getValue(it.index) }, Need(zone, queued.costTokens, prompt)) { id ->
+            chooser.choose(
+                candidates.map {
+                    views.getValue(it.index)
+                },
+                ReplicaRequirements(zone, queued.costTokens, prompt),
+            ) { id ->
                 policy.cachedTokens(queued.item, service.replicas[id.value.toInt()])
             }
         return service.replicas[checkNotNull(chosen).replica.value.toInt()]
