--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantClient.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantClient.kt
@@ -58,7 +58,8 @@
 
     /**
      * Returns the next heartbeat and its receiver. [desired] is the granting instance in this instance's view. While a
-     * registration with another instance may still be in force, the heartbeat goes there, to end that registration.
+     * registration with another instance may still be in force, the heartbeat goes there, to end that registration
+     * or to wait for its end.
      *
      * @param inheritance the reservations that this instance's own ledger hands over, see [GrantLedger.inheritance]
      */
--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantLedger.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantLedger.kt
@@ -28,7 +28,7 @@
 ) {
     private val usage = CapacityUsage(estimator, correction, settings)
     private val authority = GrantAuthority(settings)
-    private val unexplainedLoad = UnexplainedLoad()
+    private val unexplained = UnexplainedLoad()
     private val ramp = ColdStartRamp(policy)
     private var view = GrantView(isResponsible = false, members = emptySet(), isFresh = false)
     private var report: LoadReport? = null
@@ -61,14 +61,14 @@
         val old = this.report?.startId
         if (old != null && old != report.startId) {
             usage.onReplicaRestart(old, nowMillis)
-            unexplainedLoad.clear()
+            unexplained.clear()
         }
         this.report = report
         reportMillis = nowMillis - report.ageMillis
         isReachable = true
         ramp.report(report, nowMillis)
         advance(nowMillis)
-        unexplainedLoad.report(report, usage.heldSinceMillis, nowMillis)
+        unexplained.report(report, usage.heldSinceMillis, nowMillis)
     }
 
     /**
@@ -167,19 +167,14 @@
 
     private fun advance(nowMillis: Long) {
         val orphans = usage.removeLostMembers(view.members, nowMillis)
-        unexplainedLoad.add(orphans, nowMillis)
+        unexplained.add(orphans, nowMillis)
         val registered = registered(nowMillis)
         val previousSince = authority.sinceMillis
         authority.update(view, registered.size, host in registered, nowMillis)
         val hasGainedAuthority = previousSince == null && authority.sinceMillis != null
         val isTakeover = hasGainedAuthority && nowMillis - inheritedMillis > RECENT_INHERITANCE_MILLIS
         if (authority.sinceMillis != null) lastAuthorityMillis = nowMillis
-        if (orphans > 0 ||
-            isTakeover ||
-            authority.fraction < 1
-        ) {
-            unexplainedLoad.watchUntil(nowMillis + settings.takeoverMillis)
-        }
+        if (orphans > 0 || isTakeover || authority.fraction < 1) unexplained.watch(nowMillis + settings.takeoverMillis)
         ramp.advance(nowMillis)
         report?.let { usage.updatePredictions(it.stepMillis, nowMillis) }
     }
@@ -200,7 +195,7 @@
     private fun chargedIncluding(
         added: Reservation?,
         nowMillis: Long,
-    ): Capacity = usage.charged(added, unexplainedLoad.requests, nowMillis)
+    ): Capacity = usage.charged(added, unexplained.requests, nowMillis)
 
     private fun creditFor(
         member: GrantMember,
--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/UnexplainedLoad.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/UnexplainedLoad.kt
@@ -18,7 +18,7 @@
     val requests: Int get() = samples.maxOfOrNull { it.requests } ?: 0
 
     /** Checks for unexplained load until [untilMillis]. */
-    fun watchUntil(untilMillis: Long) {
+    fun watch(untilMillis: Long) {
         watchedUntilMillis = maxOf(watchedUntilMillis, untilMillis)
     }
 
@@ -40,15 +40,8 @@
         // A request granted just before the sample may not have reached the replica yet; it must not hide another one.
         val knownRequests = reservedSinceMillis.count { it <= sampleMillis - MAXIMUM_DISPATCH_MILLIS }
         val isWatched = nowMillis <= watchedUntilMillis
-        val unexplainedRequests =
-            if (isWatched) {
-                (report.running + report.waiting - knownRequests).coerceAtLeast(
-                    0,
-                )
-            } else {
-                0
-            }
-        samples.addLast(Sample(nowMillis, unexplainedRequests))
+        val excess = if (isWatched) (report.running + report.waiting - knownRequests).coerceAtLeast(0) else 0
+        samples.addLast(Sample(nowMillis, excess))
         samples.removeIf { nowMillis - it.atMillis > RETENTION_MILLIS }
     }
 
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/CallRunner.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/CallRunner.kt
@@ -79,7 +79,7 @@
         attempts: CallAttempts,
     ): CallOutcome {
         val outcome = attempts.runOnce()
-        // The answer does not wait for the settlement; until then a request with the same key finds the claim in progress.
+        // The answer does not wait for the settlement; until then a request with the same key finds it in progress.
         scope.launch(settlementJob) { settle(granted, outcome.answer, attempts.provenNotRun) }
         return outcome
     }
--- a/core/src/test/kotlin/io/sequoiawheel/core/grant/GrantPolicy.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/grant/GrantPolicy.kt
@@ -119,13 +119,9 @@
         reservation: Reservation,
         nowMillis: Long,
     ): Boolean {
-        val isDisconnected = nowMillis - lastAnswerMillis > 3_000
+        val isAlone = nowMillis - lastAnswerMillis > 3_000
         val used = own.sumOf { it.capacity.tokens }
-        if (!isDisconnected ||
-            used + reservation.capacity.tokens > GrantSimulation.CAPACITY / view.members.size
-        ) {
-            return false
-        }
+        if (!isAlone || used + reservation.capacity.tokens > GrantSimulation.CAPACITY / view.members.size) return false
         return own.add(reservation)
     }
 
--- a/core/src/test/kotlin/io/sequoiawheel/core/routing/RoutingTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/routing/RoutingTest.kt
@@ -28,13 +28,7 @@
         repeat(50) {
             val chosen =
                 chooser.choose(views, ReplicaRequirements(here, 900, 900)) {
-                    if (it.value ==
-                        "warm"
-                    ) {
-                        900
-                    } else {
-                        0
-                    }
+                    if (it.value == "warm") 900 else 0
                 }
             assertEquals("empty", chosen!!.replica.value)
         }
--- a/core/src/test/kotlin/io/sequoiawheel/core/serving/GenerationRunnerTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/serving/GenerationRunnerTest.kt
@@ -67,7 +67,7 @@
             assertTrue(engine.connections.all { it.first == "a" })
         }
 
-    /** Guards against failing a generation without delivered tokens while another replica could serve it. */
+    /** Guards against failing a generation, or reporting it as `not run`, while another replica could serve it. */
     @Test
     fun `an undelivered generation moves to another replica`() =
         runTest {
