--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/CallAttempts.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/CallAttempts.kt
@@ -43,7 +43,7 @@
     /** Runs an idempotent call with retries and, if its service document sets a delay for it, a hedged attempt. */
     suspend fun runIdempotent(): CallOutcome = withinDeadline { retryWhile { isRetriable } }
 
-    /** Runs a call that must run at most once; it is retried only if no earlier attempt has run. */
+    /** Runs a call that must run at most once; it is retried only if it is proven that no attempt has run. */
     suspend fun runOnce(): CallOutcome = withinDeadline { retryWhile { isRetriable && provenNotRun } }
 
     private suspend fun withinDeadline(block: suspend () -> CallOutcome): CallOutcome {
