--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/AggregatorSelection.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/AggregatorSelection.kt
@@ -3,9 +3,9 @@
 import io.sequoiawheel.core.model.Clock
 
 /**
- * Chooses which instance of the own zone sums up the zone's work for this one: the first by name that answers. Nothing
- * is agreed on; an instance aggregates for those that ask it to, and two aggregators only cost datagrams. Confined to
- * one thread.
+ * Chooses the instance that aggregates the load of this availability zone for the local instance: the first by name
+ * that responds. There is no consensus: an instance aggregates for every instance that asks it to, and a second
+ * aggregator only costs additional datagrams. Confined to one thread.
  */
 internal class AggregatorSelection(
     private val self: Peer,
@@ -14,25 +14,25 @@
 ) {
     private val startedMillis = clock.nowMillis()
     private val avoidedUntilMillis = HashMap<String, Long>()
-    private var first: Peer? = null
-    private var firstSinceMillis = startedMillis
-    private var heardMillis: Long? = null
-    private var askedMillis: Long? = null
+    private var preferred: Peer? = null
+    private var preferredSinceMillis = startedMillis
+    private var reportedMillis: Long? = null
+    private var requestedMillis: Long? = null
 
-    /** Whether other instances of the zone rely on this one. */
-    val isAsked: Boolean get() = askedMillis?.let { clock.nowMillis() - it <= ASKED_MILLIS } ?: false
+    /** Whether other instances of the zone use this one as their aggregator. */
+    val isRequested: Boolean get() = requestedMillis?.let { clock.nowMillis() - it <= REQUESTED_MILLIS } ?: false
 
-    /** Whether an instance was chosen that has not told its sums since. */
-    val isUnanswered: Boolean get() = first != null && heardMillis == null
+    /** Whether the selected aggregator has not sent totals since it was selected. */
+    val isUnanswered: Boolean get() = preferred != null && reportedMillis == null
 
     /** Records that another instance asked this one to aggregate. */
-    fun asked() {
-        askedMillis = clock.nowMillis()
+    fun recordRequest() {
+        requestedMillis = clock.nowMillis()
     }
 
-    /** Records that [sender] told its sums. */
-    fun heard(sender: String) {
-        if (sender == first?.name) heardMillis = clock.nowMillis()
+    /** Records that [sender] sent its totals. */
+    fun recordReport(sender: String) {
+        if (sender == preferred?.name) reportedMillis = clock.nowMillis()
     }
 
     /** Returns the instances to ask, the preferred one first; empty if this instance aggregates for itself. */
@@ -41,43 +41,44 @@
         avoidSilent(now)
         avoidedUntilMillis.values.removeIf { it <= now }
         val candidates = roster.all().filter { it.zone == self.zone && it.name !in avoidedUntilMillis }
-        // Without a question for some time the others rely on another instance, which this one may not hear of.
-        val mayLead = isAsked || now - startedMillis < UNASKED_MILLIS
-        val smaller = if (mayLead) candidates.takeWhile { it.name < self.name } else candidates
+        // If no request arrived for some time, the others use another aggregator, possibly one unknown to this
+        // instance.
+        val mayAggregate = isRequested || now - startedMillis < UNREQUESTED_MILLIS
+        val smaller = if (mayAggregate) candidates.takeWhile { it.name < self.name } else candidates
         choose(smaller.firstOrNull(), now)
-        return if (heardMillis == null) smaller.take(PROBED) else smaller.take(1)
+        return if (reportedMillis == null) smaller.take(PROBED_CANDIDATES) else smaller.take(1)
     }
 
     private fun choose(
         peer: Peer?,
         now: Long,
     ) {
-        if (peer == first) return
-        first = peer
-        firstSinceMillis = now
-        heardMillis = null
+        if (peer == preferred) return
+        preferred = peer
+        preferredSinceMillis = now
+        reportedMillis = null
     }
 
     private fun avoidSilent(now: Long) {
-        val silent = first?.takeIf { now - (heardMillis ?: firstSinceMillis) > SILENT_MILLIS } ?: return
+        val silent = preferred?.takeIf { now - (reportedMillis ?: preferredSinceMillis) > SILENT_MILLIS } ?: return
         avoidedUntilMillis[silent.name] = now + AVOIDED_MILLIS
         choose(null, now)
     }
 
     private companion object {
-        /** Three reports of the instances that rely on this one. */
-        const val ASKED_MILLIS = 3_000L
+        /** Three report intervals of the instances that use this one as their aggregator. */
+        const val REQUESTED_MILLIS = 3_000L
 
-        /** An instance that is first by name and stays unasked this long follows the others. */
-        const val UNASKED_MILLIS = 4_000L
+        /** The first instance by name gives up aggregating if no other instance requests it for this long. */
+        const val UNREQUESTED_MILLIS = 4_000L
 
-        /** Two lost reports of an aggregator in a row. */
+        /** An aggregator counts as silent after two consecutive lost totals. */
         const val SILENT_MILLIS = 1_500L
 
-        /** An instance that lost its network is mostly without it for some seconds. */
+        /** Network outages of an instance usually last several seconds. */
         const val AVOIDED_MILLIS = 12_000L
 
-        /** Instances that are asked at once until the preferred one answers: it may be gone. */
-        const val PROBED = 2
+        /** Number of candidates asked in parallel until the preferred one responds, since it may have terminated. */
+        const val PROBED_CANDIDATES = 2
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ChangeHistory.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ChangeHistory.kt
@@ -1,10 +1,10 @@
 package io.sequoiawheel.core.relay
 
 /**
- * The newest changes of one kind of object, as batches in the order of their revisions, for readers that ask for all
+ * A bounded history of changes to one kind of object, as batches ordered by revision, for readers that request all
  * changes after a revision. Confined to one thread.
  *
- * @param limit changes that are kept; readers further behind have to list the objects anew
+ * @param limit maximum number of retained changes; readers further behind must list the objects again
  */
 class ChangeHistory<E>(
     private val limit: Int = DEFAULT_LIMIT,
@@ -17,7 +17,7 @@
     private val batches = ArrayDeque<Batch<E>>()
     private var size = 0
 
-    /** The revision after which all changes are kept. */
+    /** The revision after which all changes are retained. */
     var start = 0L
         private set
 
@@ -25,7 +25,7 @@
     var revision = 0L
         private set
 
-    /** Forgets all changes and starts after [revision]. */
+    /** Clears the history and restarts it after [revision]. */
     fun restart(revision: Long) {
         batches.clear()
         size = 0
@@ -33,7 +33,7 @@
         this.revision = revision
     }
 
-    /** Adds the [changes] since the last batch; all up to [revision] are known then. */
+    /** Appends the [changes] since the last batch, which completes the history up to [revision]. */
     fun append(
         revision: Long,
         changes: List<E>,
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Returns the changes after [revision] in their order, or null if some of them are no longer kept. A batch that
-     * [revision] falls into comes whole, so that its changes may be seen again.
+     * Returns the changes after [revision] in order, or null if some of them are no longer retained. If [revision]
+     * falls inside a batch, the whole batch is returned, so a reader may receive some of its changes twice.
      */
     fun after(revision: Long): List<E>? {
         if (revision < start) return null
@@ -59,7 +59,7 @@
     }
 
     private companion object {
-        /** A fleet that replaces five replicas every three seconds makes as many changes in ten minutes. */
+        /** The number of changes in ten minutes if five replicas are replaced every three seconds. */
         const val DEFAULT_LIMIT = 2_000
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ColdShare.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ColdShare.kt
@@ -1,21 +1,24 @@
 package io.sequoiawheel.core.relay
 
 /**
- * What one of several instances may send to a cold replica, so that all together stay within what it bears in any
- * second.
+ * The share of a cold replica's request rate that one instance may use, so that all instances together stay within
+ * the rate limit of the replica in any second.
  *
- * @property perSecond sustained requests a second
- * @property burst requests beside them in one second, also in the first one
+ * @property perSecond sustained requests per second
+ * @property burst additional requests allowed in any one second, including the first
  */
 data class ColdShare(
     val perSecond: Double,
     val burst: Double,
 ) {
     companion object {
-        /** A part of the excess stays unused, since instances may not know of each other yet. */
+        /** Leaves part of the excess unused, since instances may not have discovered each other yet. */
         private const val USED_SHARE = 0.8
 
-        /** Returns the share of one of [instances] in a replica that bears [perSecond] while it is cold. */
+        /**
+         * Returns the share of each of [instances] in a replica that accepts [perSecond] requests per second while
+         * cold.
+         */
         fun of(
             perSecond: Double,
             bounds: ServiceBounds,
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/Delivery.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/Delivery.kt
@@ -1,17 +1,17 @@
 /*
- * Which events of a stream the caller gets. Several replicas may send events of the same run after one another, and for
- * a moment at the same time; each event is delivered once, in order.
+ * Deduplication and ordering of the events of a stream. Several replicas may send events of the same generation in
+ * succession, and briefly at the same time; each event is delivered to the caller once, in order.
  */
 package io.sequoiawheel.core.relay
 
-/** What to do with an event. */
+/** How to handle an event: deliver it, skip a duplicate, or report a gap in the sequence. */
 enum class DeliveryDecision { DELIVER, SKIP, GAP }
 
-/** The position in one stream. Not thread-safe. */
+/** Tracks the delivery position in one stream. Not thread-safe. */
 class Delivery(
     firstAfter: Long?,
 ) {
-    /** The id of the last delivered event, or that at which the caller resumed, or null before the first. */
+    /** The id of the last delivered event or the one from which the caller resumed; null before the first. */
     var lastId: Long? = firstAfter
         private set
 
@@ -19,7 +19,7 @@
     var delivered = 0
         private set
 
-    /** Decides on the event with [id]; events without an id are delivered as they come. */
+    /** Decides how to handle the event with [id]; events without an id are always delivered. */
     fun decide(id: Long?): DeliveryDecision {
         val last = lastId
         if (id == null) return DeliveryDecision.DELIVER.also { delivered++ }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/Departures.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/Departures.kt
@@ -4,9 +4,10 @@
 import io.sequoiawheel.core.model.InstanceId
 
 /**
- * The replicas that left, so that an older copy of the platform's list does not bring one back. A start that is leaving
- * for certain stays away. One whose entry was merely gone is believed again when the list names it in the same era, or
- * still does after a time in which the store drops entries that nobody renews. Confined to one thread.
+ * Remembers replicas that left, so that a restored older snapshot of the platform's replica list does not bring them
+ * back. An incarnation that left for a final reason is never used again. One whose entry only disappeared is used again
+ * if the list contains it in the same era, or if it is still listed after the time in which the store expires entries
+ * that are not renewed. Confined to one thread.
  */
 internal class Departures(
     private val clock: Clock,
@@ -19,40 +20,40 @@
     private val removals = LinkedHashMap<InstanceId, Removal>()
     private val finalReasons = LinkedHashMap<Pair<InstanceId, Long>, LeaveReason>()
     private var era = 0
-    private var unsettledUntilMillis = Long.MIN_VALUE
+    private var settlingUntilMillis = Long.MIN_VALUE
 
-    /** Whether the list may still hold entries from the copy that nobody renews. */
-    val isUnsettled: Boolean get() = clock.nowMillis() < unsettledUntilMillis
+    /** Whether the list may still contain entries of the snapshot that are not renewed and have yet to expire. */
+    val isSettling: Boolean get() = clock.nowMillis() < settlingUntilMillis
 
-    /** Records that the store came back from an older copy. */
+    /** Records that the store was restored from an older snapshot. */
     fun beginEra() {
         era++
-        unsettledUntilMillis = clock.nowMillis() + UNSETTLED_MILLIS
+        settlingUntilMillis = clock.nowMillis() + SETTLE_MILLIS
     }
 
-    /** Records that the entry of [replica] is gone. */
-    fun removed(replica: Replica) {
+    /** Records that the entry of [replica] was removed. */
+    fun recordRemoval(replica: Replica) {
         removals.remove(replica.entry.id)
         removals[replica.entry.id] = Removal(replica.entry, era)
         removals.trim()
-        ended(replica)
+        recordEnd(replica)
     }
 
-    /** Records that [replica] is not in the list any more, since its entry is gone or about another start. */
-    fun ended(replica: Replica) {
+    /** Records that [replica] is no longer listed: its entry was removed or now describes another incarnation. */
+    fun recordEnd(replica: Replica) {
         val reason = replica.leaveReason?.takeIf { it.isFinal } ?: return
-        // Without the time of its start, a replica that came back looks like the one that left.
+        // Without its start time, a restarted replica cannot be distinguished from the one that left.
         val startedAtMillis = replica.entry.startedAtMillis ?: return
         finalReasons[replica.entry.id to startedAtMillis] = reason
         finalReasons.trim()
     }
 
-    /** Returns why the start that [entry] is about is leaving for certain, or null if that is not known. */
+    /** Returns the final reason for which the incarnation in [entry] left, or null if none is recorded. */
     fun finalReason(entry: ReplicaEntry): LeaveReason? = entry.startedAtMillis?.let { finalReasons[entry.id to it] }
 
-    /** Whether [entry] may stem from the copy, since its start, or a later one, was gone before the store came back. */
-    fun isDoubtful(entry: ReplicaEntry): Boolean {
-        if (!isUnsettled) return false
+    /** Whether [entry] may be a stale entry of the snapshot: it, or a later start, was removed before the restore. */
+    fun mayBeStale(entry: ReplicaEntry): Boolean {
+        if (!isSettling) return false
         val removal = removals[entry.id]?.takeIf { it.era < era } ?: return false
         return removal.entry.isSameStart(entry) || entry.isEarlierStart(removal.entry)
     }
@@ -62,10 +63,10 @@
     }
 
     private companion object {
-        /** The store drops the entry of a silent replica after three heartbeats, about 4 s. */
-        const val UNSETTLED_MILLIS = 5_000L
+        /** The store expires the entry of a replica after three missed heartbeats, about 4 s. */
+        const val SETTLE_MILLIS = 5_000L
 
-        /** Replicas that leave within an hour of the busiest day; each takes some hundred bytes. */
+        /** The number of replicas that leave in an hour of the busiest day; each entry takes some hundred bytes. */
         const val MAXIMUM_KEPT = 2_000
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/EvacuatedZones.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/EvacuatedZones.kt
@@ -6,8 +6,9 @@
 import kotlinx.collections.immutable.toImmutableSet
 
 /**
- * The availability zones that operators have taken out. After the store came back from an older copy, a zone that its
- * list lacks stays out until the operator has had time to write again what the copy lost. Confined to one thread.
+ * The availability zones that operators have evacuated. After the store was restored from an older snapshot, a zone
+ * that the restored list lacks stays evacuated until the operator has had time to rewrite the lost entries. Confined to
+ * one thread.
  */
 class EvacuatedZones(
     private val clock: Clock,
@@ -15,20 +16,20 @@
     private val listed = LinkedHashSet<ZoneName>()
     private val heldUntilMillis = HashMap<ZoneName, Long>()
 
-    /** The zones that receive no new work now. */
+    /** The zones that currently receive no new work. */
     val zones: ImmutableSet<ZoneName> get() = (listed + heldUntilMillis.keys).filter { it in this }.toImmutableSet()
 
-    /** Whether [zone] receives no new work now. */
+    /** Whether [zone] currently receives no new work. */
     operator fun contains(zone: ZoneName): Boolean =
         zone in listed || heldUntilMillis[zone]?.let { clock.nowMillis() < it } ?: false
 
-    /** Replaces the list. */
+    /** Replaces the list of evacuated zones with [zones]. */
     fun replaceAll(
         zones: Set<ZoneName>,
-        standing: ListStanding,
+        reliability: ListReliability,
     ) {
         val before = this.zones
-        if (standing == ListStanding.NEW_ERA) {
+        if (reliability == ListReliability.NEW_ERA) {
             val untilMillis = clock.nowMillis() + HOLD_MILLIS
             heldUntilMillis.keys.retainAll(before)
             before.filter { it !in zones }.forEach { heldUntilMillis.putIfAbsent(it, untilMillis) }
@@ -38,7 +39,7 @@
         heldUntilMillis.keys.removeAll(listed)
     }
 
-    /** Records that [zone] was taken out, or taken back. */
+    /** Records that [zone] was evacuated or returned to service. */
     fun set(
         zone: ZoneName,
         isOut: Boolean,
@@ -48,7 +49,10 @@
     }
 
     private companion object {
-        /** The operator writes again within moments; a zone that is not used for some seconds more costs only room. */
+        /**
+         * The operator rewrites lost entries quickly; leaving a zone unused for some seconds longer only costs
+         * capacity.
+         */
         const val HOLD_MILLIS = 10_000L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/EventSplitter.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/EventSplitter.kt
@@ -1,11 +1,11 @@
 /*
- * Splits the bytes of an event stream into whole events. A replica may stop in the middle of an event; the caller gets
- * whole events only, so that the stream can continue from another replica without a seam.
+ * Splits the bytes of a server-sent event stream into complete events. A replica may fail in the middle of an event;
+ * callers receive complete events only, so that another replica can continue the stream at an event boundary.
  */
 package io.sequoiawheel.core.relay
 
 /**
- * One whole event with its terminating blank line.
+ * One complete event, including its terminating blank line.
  *
  * @property id the value of its `id` field as a number, or null if it has none
  */
@@ -14,21 +14,21 @@
     val id: Long?,
 )
 
-/** Collects bytes and returns the events that are complete. Not thread-safe. */
+/** Buffers bytes and returns the events that they complete. Not thread-safe. */
 class EventSplitter {
     private var buffer = ByteArray(INITIAL_BYTES)
     private var size = 0
     private var scanned = 0
 
-    /** Bytes of an event that is not complete yet. */
+    /** Number of buffered bytes of an incomplete event. */
     val pendingBytes: Int get() = size
 
-    /** Takes over [length] bytes of [source] and returns the events that they complete. */
+    /** Appends the first [length] bytes of [source] and returns the events that they complete. */
     fun append(
         source: ByteArray,
         length: Int = source.size,
     ): List<StreamEvent> {
-        ensure(size + length)
+        ensureCapacity(size + length)
         source.copyInto(buffer, size, 0, length)
         size += length
         val events = ArrayList<StreamEvent>()
@@ -52,7 +52,7 @@
                     previous >= 0 &&
                         buffer[previous] == NEWLINE ||
                         previous >= 1 &&
-                        buffer[previous] == RETURN &&
+                        buffer[previous] == CARRIAGE_RETURN &&
                         buffer[previous - 1] == NEWLINE
                 if (ends) return index + 1
             }
@@ -70,7 +70,7 @@
             ?.trim()
             ?.toLongOrNull()
 
-    private fun ensure(needed: Int) {
+    private fun ensureCapacity(needed: Int) {
         if (needed <= buffer.size) return
         buffer = buffer.copyOf(maxOf(needed, buffer.size * 2))
     }
@@ -78,7 +78,7 @@
     private companion object {
         const val INITIAL_BYTES = 1_024
         const val NEWLINE = '\n'.code.toByte()
-        const val RETURN = '\r'.code.toByte()
+        const val CARRIAGE_RETURN = '\r'.code.toByte()
         const val ID_FIELD = "id:"
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/FleetCount.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/FleetSizeEstimate.kt
@@ -3,17 +3,17 @@
 import io.sequoiawheel.core.model.Clock
 
 /**
- * An upper estimate of the number of instances. Instances that are cut off still use their shares of common bounds, so
- * the largest number of the last minutes counts. Confined to one thread.
+ * An upper estimate of the number of instances. Instances that are partitioned from this one still use their shares of
+ * common limits, so the estimate is the maximum of the last minutes. Confined to one thread.
  */
-internal class FleetCount(
+internal class FleetSizeEstimate(
     private val clock: Clock,
 ) {
     private var peak = 0
     private var peakMillis = 0L
 
-    /** Returns the largest number lately, [current] included. */
-    fun atLeast(current: Int): Int {
+    /** Updates the estimate with the [current] number and returns the recent maximum. */
+    fun update(current: Int): Int {
         val now = clock.nowMillis()
         if (current >= peak || now - peakMillis > PeerRoster.FORGET_MILLIS) {
             peak = current
@@ -23,7 +23,7 @@
     }
 
     companion object {
-        /** Assumed before anything is known of the others: the largest fleet that is planned for. */
+        /** Assumed before any other instance is known: the largest planned fleet. */
         const val UNKNOWN = 340
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/Freshness.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/Freshness.kt
@@ -1,81 +1,86 @@
 /*
- * How old the knowledge of the configuration is. A monotonic clock stands still while the machine is suspended, and the
- * time of day may be set at any moment, so neither alone bounds the age. Both are read: the larger elapsed time counts,
- * and where they disagree the knowledge counts as unproven until the store is read again.
+ * The age of the local configuration. A monotonic clock stops while the machine is suspended, and the wall clock may be
+ * set at any time, so neither alone bounds the age. Both are read: the larger elapsed time counts, and if they diverge,
+ * the configuration counts as unconfirmed until the store is read again.
  */
 package io.sequoiawheel.core.relay
 
 import io.sequoiawheel.core.model.Clock
 
-/** A point in time on both clocks. */
-data class Instant(
+/** Readings of both clocks at one point in time. */
+data class ClockReading(
     val monotonicMillis: Long,
     val wallMillis: Long,
 )
 
 /**
- * Tracks the moment at which the configuration in force was last known to be the newest. Not thread-safe.
+ * Tracks the time as of which the configuration in force was last confirmed to be the newest. Not thread-safe.
  *
- * @param limitMillis age from which keyed requests are refused
+ * @param limitMillis age above which requests with API keys are refused
  */
 class Freshness(
     private val monotonic: Clock,
     private val wall: Clock,
     private val limitMillis: Long,
 ) {
-    private var proof: Instant? = null
-    private var lastSeen: Instant = now()
-    private var suspended = false
+    private var confirmedAt: ClockReading? = null
+    private var lastSeen: ClockReading = now()
+    private var invalidated = false
 
-    /** Returns both clocks' readings; taken before a call to the store, they date what the call returns. */
-    fun now(): Instant = Instant(monotonic.nowMillis(), wall.nowMillis())
+    /** Returns the readings of both clocks. Take them before a call to the store to date the state that it returns. */
+    fun now(): ClockReading = ClockReading(monotonic.nowMillis(), wall.nowMillis())
 
     /** Records that the configuration was the newest at [asOf] or later. */
-    fun proven(asOf: Instant) {
+    fun confirm(asOf: ClockReading) {
         observe()
-        val current = proof
+        val current = confirmedAt
         if (current != null && asOf.monotonicMillis < current.monotonicMillis) return
-        if (disagreement(asOf, now()) > CLOCK_TOLERANCE_MILLIS) return
-        proof = asOf
-        suspended = false
+        if (clockDivergenceMillis(asOf, now()) > CLOCK_TOLERANCE_MILLIS) return
+        confirmedAt = asOf
+        invalidated = false
     }
 
-    /** Compares the clocks since the last call, and withdraws the proof if one of them stood still or was set. */
+    /**
+     * Compares the progress of both clocks since the last call and invalidates the confirmation if one stopped or was
+     * set.
+     */
     fun observe() {
         val now = now()
-        if (disagreement(lastSeen, now) > CLOCK_TOLERANCE_MILLIS) suspended = true
+        if (clockDivergenceMillis(lastSeen, now) > CLOCK_TOLERANCE_MILLIS) invalidated = true
         lastSeen = now
     }
 
-    /** Returns the age in milliseconds, or [Long.MAX_VALUE] if it cannot be shown. */
+    /** Returns the age in milliseconds, or [Long.MAX_VALUE] if it is not known. */
     fun ageMillis(): Long {
         observe()
-        val since = proof
-        if (since == null || suspended) return Long.MAX_VALUE
+        val since = confirmedAt
+        if (since == null || invalidated) return Long.MAX_VALUE
         val now = now()
         return maxOf(now.monotonicMillis - since.monotonicMillis, now.wallMillis - since.wallMillis)
     }
 
-    /** Whether the configuration is known to be fresh enough to honour API keys. */
+    /** Whether the configuration is recent enough to accept API keys. */
     fun isFresh(): Boolean = ageMillis() <= limitMillis
 
-    /** Whether a step of the clocks withdrew the proof, so that one read of the store restores it. */
-    fun isWithdrawn(): Boolean {
+    /** Whether a clock step invalidated the confirmation; one read of the store restores it. */
+    fun isInvalidated(): Boolean {
         observe()
-        return suspended
+        return invalidated
     }
 
-    /** Returns the time between two readings in milliseconds, the smaller of both clocks', or null if they disagree. */
+    /**
+     * Returns the smaller elapsed time of both clocks between two readings in milliseconds, or null if they diverge.
+     */
     fun offsetMillis(
-        from: Instant,
-        to: Instant,
+        from: ClockReading,
+        to: ClockReading,
     ): Long? =
         minOf(to.monotonicMillis - from.monotonicMillis, to.wallMillis - from.wallMillis)
-            .takeIf { disagreement(from, to) <= CLOCK_TOLERANCE_MILLIS }
+            .takeIf { clockDivergenceMillis(from, to) <= CLOCK_TOLERANCE_MILLIS }
 
-    private fun disagreement(
-        from: Instant,
-        to: Instant,
+    private fun clockDivergenceMillis(
+        from: ClockReading,
+        to: ClockReading,
     ): Long {
         val monotonicMillis = to.monotonicMillis - from.monotonicMillis
         val wallMillis = to.wallMillis - from.wallMillis
@@ -83,7 +88,7 @@
     }
 
     private companion object {
-        /** Two readings that are taken one after the other on a busy processor differ by less. */
+        /** Consecutive readings of the two clocks on a busy processor differ by less than this. */
         const val CLOCK_TOLERANCE_MILLIS = 300L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/HubSelection.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/HubSelection.kt
@@ -1,7 +1,7 @@
 /*
- * Which instance of an availability zone watches the platform's store for the others. Watches cost one call a change
- * and instance, so in each zone one instance, the hub, watches the store, and the others watch the hub. No agreement
- * is needed: two hubs only cost calls, and an instance whose hub fails watches the store itself for a while.
+ * Selection of the instance that watches the platform's store on behalf of its availability zone. A watch costs one
+ * call per change and instance, so one instance of each zone, the hub, watches the store, and the others watch the hub.
+ * No consensus is needed: a second hub only costs calls, and an instance whose hub fails temporarily watches the store.
  */
 package io.sequoiawheel.core.relay
 
@@ -10,9 +10,9 @@
 import org.apache.commons.rng.UniformRandomProvider
 
 /**
- * Chooses the hub of one instance. Confined to one thread.
+ * Selects the hub of one instance. Confined to one thread.
  *
- * @param live the other instances that were heard of or listed lately
+ * @param live returns the other instances that were recently contacted or listed
  */
 class HubSelection(
     private val ownName: String,
@@ -24,19 +24,19 @@
     private var hub: Peer? = null
     private var directUntilMillis = Long.MIN_VALUE
     private val avoidedUntilMillis = HashMap<String, Long>()
-    private var askedAtMillis: Long? = null
+    private var watchedAtMillis: Long? = null
 
-    /** Whether other instances rely on this one as their hub. */
-    val isAsked: Boolean get() = askedAtMillis?.let { clock.nowMillis() - it <= ASKED_MILLIS } ?: false
+    /** Whether other instances use this one as their hub. */
+    val hasWatchers: Boolean get() = watchedAtMillis?.let { clock.nowMillis() - it <= WATCHED_MILLIS } ?: false
 
     /** Records that another instance watches this one. */
-    fun asked() {
-        askedAtMillis = clock.nowMillis()
+    fun recordWatcher() {
+        watchedAtMillis = clock.nowMillis()
     }
 
-    /** Returns the instance to watch, or null if this instance is to watch the store itself. */
+    /** Returns the instance to watch, or null if this instance must watch the store itself. */
     fun current(): Peer? {
-        if (clock.nowMillis() < directUntilMillis || isAsked) return null
+        if (clock.nowMillis() < directUntilMillis || hasWatchers) return null
         avoidedUntilMillis.values.removeIf { it <= clock.nowMillis() }
         val members = live().filter { it.zone == ownZone }
         if (members.size + 1 < MINIMUM_MEMBERS) return null
@@ -47,8 +47,11 @@
         return first
     }
 
-    /** Watches the store for a while, since [peer] did not serve as hub. Returns false if it was not the hub. */
-    fun failed(peer: Peer): Boolean {
+    /**
+     * Stops using [peer], which failed, as the hub and falls back to the store for a while. Returns false if it is not
+     * the hub.
+     */
+    fun abandon(peer: Peer): Boolean {
         if (peer != hub) return false
         hub = null
         avoidedUntilMillis[peer.name] = clock.nowMillis() + AVOIDED_MILLIS
@@ -57,19 +60,21 @@
     }
 
     private companion object {
-        /** The smallest zone in which a hub saves calls: half of them with two instances. */
+        /** Smallest zone in which a hub saves calls; with two instances it saves half of them. */
         const val MINIMUM_MEMBERS = 2
 
-        /** Each instance asks its hub for the configuration about once a second. */
-        const val ASKED_MILLIS = 3_000L
+        /** Each instance requests the configuration from its hub about once per second. */
+        const val WATCHED_MILLIS = 3_000L
 
-        /** All instances of a zone miss their hub within the second in which each asks it once. */
+        /** All instances of a zone detect the loss of their hub within the second in which each polls it once. */
         const val DIRECT_MILLIS = 1_200L
 
-        /** An instance that lost the store or its network is mostly without it for some seconds more. */
+        /** An instance that lost the store or its network usually stays without it for several seconds. */
         const val AVOIDED_MILLIS = 12_000L
 
-        /** Spreads the instances of a zone, so that the new hub knows of its role before most of them ask. */
+        /**
+         * Jitter across the instances of a zone, so that the new hub has taken its role before most of them contact it.
+         */
         const val DIRECT_SPREAD_MILLIS = 1_200L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/InstanceSettings.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/InstanceSettings.kt
@@ -1,6 +1,6 @@
 /*
- * What one entry instance is told at its start: where it listens, where the platform's store is, and the bounds that
- * the operators hold it to. Times are in milliseconds unless a name says otherwise.
+ * The startup settings of an entry instance: its listen addresses, the address of the platform's store, and the limits
+ * set by the operators. Times are in milliseconds unless a name says otherwise.
  */
 package io.sequoiawheel.core.relay
 
@@ -14,7 +14,7 @@
     override fun toString(): String = "$host:$port"
 
     companion object {
-        /** Returns the endpoint that [text] writes as host and port, or null if it is none. */
+        /** Parses [text] as `host:port`; returns null if it has no valid port. */
         fun parseOrNull(text: String): Endpoint? {
             val port = text.substringAfterLast(':', "").toIntOrNull() ?: return null
             return Endpoint(text.substringBeforeLast(':'), port)
@@ -25,7 +25,7 @@
 /**
  * The settings of one entry instance.
  *
- * @property peerPorts ports on which instances may talk to each other, the same on all machines
+ * @property peerPorts ports available for communication between instances, the same on all machines
  */
 data class InstanceSettings(
     val name: String,
@@ -39,16 +39,16 @@
 )
 
 /**
- * The bounds that the operators hold the instances to.
+ * The limits that the operators set for the instances.
  *
- * @property contactMillis how long an instance must be reachable before the bounds hold for it again
- * @property drainMillis time after which a leaving replica receives nothing more
+ * @property contactMillis how long an instance must be reachable before the limits apply to it again
+ * @property drainMillis time after which a leaving replica receives no more requests
  * @property graceSeconds time from SIGTERM to SIGKILL
- * @property revokeMillis time after which a revoked key is refused
- * @property retryRatio repeats allowed for each request of a service, in a window of [retryWindowMillis]
- * @property retryExtra repeats allowed beside the ratio, over all instances
- * @property coldExcess factor by which the rate of a cold replica may be exceeded in one second
- * @property coldMargin requests by which it may be exceeded beside that, over all instances
+ * @property revokeMillis time after which a revoked API key is refused
+ * @property retryRatio retries allowed per request of a service, in a window of [retryWindowMillis]
+ * @property retryExtra retries allowed in addition to the ratio, across all instances
+ * @property coldExcess factor by which the rate limit of a cold replica may be exceeded in one second
+ * @property coldMargin additional requests by which it may be exceeded, across all instances
  */
 data class ServiceBounds(
     val contactMillis: Long,
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/LoadExchange.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/LoadExchange.kt
@@ -1,41 +1,41 @@
 /*
- * How an entry instance learns of the work that the others have at the replicas. A small fleet exchanges reports
- * directly. In a larger one each instance reports to one instance of its zone, the aggregator, which exchanges sums
- * with the aggregators of the other zones and tells its zone the total, so that the messages of an instance do not grow
- * with the fleet. An instance subtracts its own part of a total by the report that the total includes.
+ * Exchange of replica load between entry instances. A small fleet exchanges reports in a full mesh. In a larger one
+ * each instance reports to one instance of its availability zone, the aggregator, which exchanges sums with the
+ * aggregators of the other zones and sends the totals to its zone, so that the message rate of an instance does not
+ * grow with the fleet. An instance subtracts its own load from a total using the report that the total includes.
  */
 package io.sequoiawheel.core.relay
 
 import io.sequoiawheel.core.model.Clock
 import io.sequoiawheel.core.model.ZoneName
 
-/** A message to be sent to [destinations]. */
-class PeerSending(
+/** A message to send to [destinations]. */
+class OutgoingMessage(
     val destinations: List<Endpoint>,
     val message: PeerMessage,
 )
 
 /**
- * Decides what one instance sends to the others, and what follows from what it receives. Confined to one thread.
+ * Decides which load messages one instance sends, and processes those that it receives. Confined to one thread.
  *
- * @param start tells this incarnation from earlier ones of the same name
+ * @param start identifies this incarnation; larger than that of earlier incarnations of the same name
  */
 class LoadExchange(
     private val self: Peer,
     private val start: Long,
     private val clock: Clock,
 ) {
-    /** What a message told that makes the next one worth sending. */
-    private data class Told(
+    /** The content of the last message that is compared to decide whether a new message is needed. */
+    private data class SentContent(
         val memory: Map<String, Pair<Long, Long>> = emptyMap(),
         val leaving: StartsByReplica = emptyMap(),
     )
 
     private val roster = PeerRoster(clock)
     private val aggregators = AggregatorSelection(self, roster, clock)
-    private val ownReports = OwnReports()
-    private val heard = HeardLoads(self.zone, clock)
-    private val count = FleetCount(clock)
+    private val sentReports = SentReports()
+    private val received = ReceivedLoads(self.zone, clock)
+    private val fleetSize = FleetSizeEstimate(clock)
     private var sequence = 0L
     private var meshRounds = 0L
     private var totalRounds = 0L
@@ -44,55 +44,57 @@
     private var totalSentMillis: Long? = null
     private var sumSentMillis: Long? = null
     private var totalBytes = 0
-    private var lastTotal: Told = Told()
-    private var lastSum: Told = Told()
+    private var lastTotal: SentContent = SentContent()
+    private var lastSum: SentContent = SentContent()
     private var leaving: StartsByReplica = emptyMap()
 
-    /** The instances that may exist: an upper estimate, so that shares of common bounds add up to less than these. */
+    /**
+     * Upper estimate of the number of instances, so that the shares of common limits add up to no more than the limits.
+     */
     val instanceCount: Int
         get() {
-            if (!isListed && heard.isEmpty) return FleetCount.UNKNOWN
-            return count.atLeast(maxOf(liveCount(), roster.size + 1))
+            if (!isListed && received.isEmpty) return FleetSizeEstimate.UNKNOWN
+            return fleetSize.update(maxOf(liveCount(), roster.size + 1))
         }
 
-    /** Instances that reported lately, this one included. */
-    fun liveCount(): Int = totals()?.instances ?: (1 + heard.count())
+    /** Returns the number of instances that reported recently, including this one. */
+    fun liveCount(): Int = totals()?.instances ?: (1 + received.count())
 
-    /** Other instances that were heard of or listed lately; in a large fleet those of the own zone. */
-    fun live(): List<Peer> = roster.heardWithin(LIVE_MILLIS)
+    /** Returns the other instances recently contacted or listed; in a large fleet, only those of the local zone. */
+    fun live(): List<Peer> = roster.activeWithin(LIVE_MILLIS)
 
-    /** Takes the addresses of [peers] from the platform's store. */
-    fun listed(peers: List<Peer>) {
+    /** Adds the addresses of [peers] listed in the platform's store. */
+    fun addListedPeers(peers: List<Peer>) {
         isListed = true
         peers.filter { it.name != self.name }.forEach(roster::add)
     }
 
-    /** The replicas that announced their leaving to other instances. */
-    val leavingElsewhere: StartsByReplica get() = heard.leaving()
+    /** The replicas that announced to other instances that they are leaving. */
+    val leavingReportedByPeers: StartsByReplica get() = received.leaving()
 
     /**
-     * Returns what to send now, where this instance has [work], and replicas [leaving] announced that they leave. To be
-     * called every tenth of a second.
+     * Returns the messages to send now, given this instance's [work] and the replicas that announced that they are
+     * [leaving]. Call it every 100 ms.
      */
     fun tick(
         work: WorkByReplica,
         leaving: StartsByReplica = emptyMap(),
-    ): List<PeerSending> {
-        val sendings = ArrayList<PeerSending>()
-        val hasChanged = memory(work) != memory(ownReports.newest) || leaving != this.leaving
+    ): List<OutgoingMessage> {
+        val outgoing = ArrayList<OutgoingMessage>()
+        val hasChanged = memory(work) != memory(sentReports.newest) || leaving != this.leaving
         this.leaving = leaving
-        if (hasChanged || isElapsed(reportSentMillis, heartbeatMillis())) sendings += report(work, isLeaving = false)
-        if (!aggregators.isAsked && !isFirst()) return sendings
-        if (isElapsed(totalSentMillis, totalIntervalMillis())) total(work)?.let { sendings += it }
-        if (!isMesh() && isElapsed(sumSentMillis, SUM_INTERVAL_MILLIS)) sum(work)?.let { sendings += it }
-        return sendings
+        if (hasChanged || isElapsed(reportSentMillis, heartbeatMillis())) outgoing += report(work, isLeaving = false)
+        if (!aggregators.isRequested && !isAggregator()) return outgoing
+        if (isElapsed(totalSentMillis, totalIntervalMillis())) total(work)?.let { outgoing += it }
+        if (!isMesh() && isElapsed(sumSentMillis, SUM_INTERVAL_MILLIS)) sum(work)?.let { outgoing += it }
+        return outgoing
     }
 
-    /** Returns the last message of an instance that is leaving. */
-    fun leave(): PeerSending = report(emptyMap(), isLeaving = true)
+    /** Returns the final message of an instance that is shutting down. */
+    fun leave(): OutgoingMessage = report(emptyMap(), isLeaving = true)
 
-    /** Takes a message. Returns what to send on at once. */
-    fun receive(message: PeerMessage): List<PeerSending> {
+    /** Processes a message. Returns the messages to forward immediately. */
+    fun receive(message: PeerMessage): List<OutgoingMessage> {
         val endpoint = Endpoint.parseOrNull(message.endpoint) ?: return emptyList()
         if (message.sender == self.name) return emptyList()
         val sender = Peer(message.sender, ZoneName(message.zone), endpoint)
@@ -104,7 +106,7 @@
         return emptyList()
     }
 
-    /** Sets what the other instances have at each of [replicas]. */
+    /** Sets the load of the other instances on each of [replicas]. */
     fun apply(replicas: Collection<Replica>) {
         val work = othersWork()
         for (replica in replicas) {
@@ -119,57 +121,57 @@
         report: PeerReport,
         sender: Peer,
     ) {
-        if (!heard.take(report)) return
+        if (!received.accept(report)) return
         if (report.isLeaving) return roster.remove(report.sender)
-        roster.heard(sender)
-        if (report.wantsSums && sender.zone == self.zone) aggregators.asked()
+        roster.recordContact(sender)
+        if (report.wantsSums && sender.zone == self.zone) aggregators.recordRequest()
     }
 
     private fun receive(
         report: FleetReport,
         sender: Peer,
     ) {
-        roster.heard(sender)
-        aggregators.heard(report.sender)
-        heard.take(report, preferred = aggregators.current().firstOrNull()?.name)
+        roster.recordContact(sender)
+        aggregators.recordReport(report.sender)
+        received.accept(report, preferred = aggregators.current().firstOrNull()?.name)
         report.addresses.filterKeys { it != self.name }.forEach { (name, address) ->
-            Endpoint.parseOrNull(address)?.let { roster.heard(Peer(name, self.zone, it)) }
+            Endpoint.parseOrNull(address)?.let { roster.recordContact(Peer(name, self.zone, it)) }
         }
     }
 
-    /** Sums of another zone that reach an instance with an aggregator go on to it, once. */
+    /** Forwards the sums of another zone to the aggregator of this instance, if it has one, at most once. */
     private fun receive(
         report: ZoneReport,
         sender: Peer,
-    ): List<PeerSending> {
-        roster.heard(sender)
-        heard.take(report)
+    ): List<OutgoingMessage> {
+        roster.recordContact(sender)
+        received.accept(report)
         val aggregator = aggregators.current().firstOrNull()?.takeIf { !isMesh() && !report.isForwarded }
-        return listOfNotNull(aggregator?.let { PeerSending(listOf(it.endpoint), report.copy(isForwarded = true)) })
+        return listOfNotNull(aggregator?.let { OutgoingMessage(listOf(it.endpoint), report.copy(isForwarded = true)) })
     }
 
     private fun report(
         work: WorkByReplica,
         isLeaving: Boolean,
-    ): PeerSending {
+    ): OutgoingMessage {
         val endpoint = self.endpoint.toString()
         val wantsSums = !isMesh() && !isLeaving
         val report =
             PeerReport(self.name, start, ++sequence, endpoint, work, isLeaving, self.zone.value, wantsSums, leaving)
-        ownReports.add(report)
+        sentReports.add(report)
         reportSentMillis = clock.nowMillis()
-        return PeerSending((if (isMesh()) meshPeers() else aggregators.current()).map { it.endpoint }, report)
+        return OutgoingMessage((if (isMesh()) meshPeers() else aggregators.current()).map { it.endpoint }, report)
     }
 
-    /** Returns the totals for the instances that asked for them, or null if none did or nothing is new. */
-    private fun total(work: WorkByReplica): PeerSending? {
-        val members = heard.members
-        val askers = members.filter { it.wantsSums }.mapNotNull { Endpoint.parseOrNull(it.endpoint) }
-        if (askers.isEmpty()) return null
-        val total = (heard.work() + listOf(work)).total()
-        val held = Told(memory(total), leaving + heard.reportedLeavings())
-        if (held == lastTotal && !isElapsed(totalSentMillis, TOTAL_INTERVAL_LIMIT_MILLIS)) return null
-        lastTotal = held
+    /** Returns the totals for the instances that requested them, or null if there are none or nothing changed. */
+    private fun total(work: WorkByReplica): OutgoingMessage? {
+        val members = received.members
+        val requesters = members.filter { it.wantsSums }.mapNotNull { Endpoint.parseOrNull(it.endpoint) }
+        if (requesters.isEmpty()) return null
+        val total = (received.work() + listOf(work)).total()
+        val content = SentContent(memory(total), leaving + received.reportedLeaving())
+        if (content == lastTotal && !isElapsed(totalSentMillis, TOTAL_INTERVAL_LIMIT_MILLIS)) return null
+        lastTotal = content
         totalSentMillis = clock.nowMillis()
         val hasAddresses = totalRounds++ % ADDRESS_ROUNDS == 0L
         val report =
@@ -179,25 +181,25 @@
                 ++sequence,
                 self.endpoint.toString(),
                 self.zone.value,
-                1 + heard.count(),
+                1 + received.count(),
                 total,
                 members.associate { it.sender to it.sequence },
                 if (hasAddresses) members.associate { it.sender to it.endpoint } else emptyMap(),
-                held.leaving,
+                content.leaving,
             )
         totalBytes = (report.work.size + report.members.size) * BYTES_PER_ENTRY
-        return PeerSending(askers, report)
+        return OutgoingMessage(requesters, report)
     }
 
-    /** Returns the sums of the own zone for the other zones, or null if there are none or nothing is new. */
-    private fun sum(work: WorkByReplica): PeerSending? {
+    /** Returns the sums of the local zone for the other zones, or null if there are none or nothing changed. */
+    private fun sum(work: WorkByReplica): OutgoingMessage? {
         val targets = otherZones()
         if (targets.isEmpty()) return null
-        val members = heard.members
+        val members = received.members
         val sums = (members.map { it.work } + listOf(work)).total()
-        val held = Told(memory(sums), members.fold(leaving) { known, member -> known + member.leaving })
-        if (held == lastSum && !isElapsed(sumSentMillis, HEARTBEAT_MILLIS)) return null
-        lastSum = held
+        val content = SentContent(memory(sums), members.fold(leaving) { known, member -> known + member.leaving })
+        if (content == lastSum && !isElapsed(sumSentMillis, HEARTBEAT_MILLIS)) return null
+        lastSum = content
         sumSentMillis = clock.nowMillis()
         val endpoint = self.endpoint.toString()
         val report =
@@ -209,36 +211,39 @@
                 self.zone.value,
                 1 + members.size,
                 sums,
-                leaving = held.leaving,
+                leaving = content.leaving,
             )
-        return PeerSending(targets.map { it.endpoint }, report)
+        return OutgoingMessage(targets.map { it.endpoint }, report)
     }
 
-    /** Returns whom to tell this zone's sums: who told theirs, or one instance after the other until one does. */
+    /**
+     * Returns the recipients of this zone's sums: per zone the sender of its sums, or its instances in turn until one
+     * sends.
+     */
     private fun otherZones(): List<Peer> {
         val turn = clock.nowMillis() / ZONE_PROBE_MILLIS
         return roster.all().filter { it.zone != self.zone }.groupBy { it.zone }.map { (zone, peers) ->
-            heard.senderOfSums(zone)?.let { roster[it] } ?: peers[(turn % peers.size).toInt()]
+            received.senderOfSums(zone)?.let { roster[it] } ?: peers[(turn % peers.size).toInt()]
         }
     }
 
     private fun othersWork(): WorkByReplica {
-        val told = totals() ?: return heard.work().total()
-        val own = told.members[self.name]?.let(ownReports::get).orEmpty()
-        return told.work.mapValues { (replica, sum) -> own[replica]?.let { sum - it } ?: sum }
+        val fleetTotals = totals() ?: return received.work().total()
+        val own = fleetTotals.members[self.name]?.let(sentReports::get).orEmpty()
+        return fleetTotals.work.mapValues { (replica, sum) -> own[replica]?.let { sum - it } ?: sum }
     }
 
-    /** The totals of an aggregator, unless this instance is the one that knows best. */
-    private fun totals(): FleetReport? = heard.totals?.takeIf { !isFirst() }
+    /** Returns the totals received from an aggregator, or null if this instance aggregates itself. */
+    private fun totals(): FleetReport? = received.totals?.takeIf { !isAggregator() }
 
-    private fun isFirst() = !isMesh() && aggregators.current().isEmpty()
+    private fun isAggregator() = !isMesh() && aggregators.current().isEmpty()
 
     private fun isMesh() = roster.size < MESH_INSTANCES
 
     private fun meshPeers(): List<Peer> =
-        if (meshRounds++ % SILENT_ROUNDS == 0L) roster.all() else roster.heardWithin(SILENT_MILLIS)
+        if (meshRounds++ % SILENT_ROUNDS == 0L) roster.all() else roster.activeWithin(SILENT_MILLIS)
 
-    /** An aggregator that was just chosen is asked until it answers, since one lost datagram must not condemn it. */
+    /** Reports more often to a newly selected aggregator, so that one lost datagram does not make it appear failed. */
     private fun heartbeatMillis(): Long {
         val isUnanswered = !isMesh() && aggregators.current().isNotEmpty() && aggregators.isUnanswered
         return if (isUnanswered) UNANSWERED_HEARTBEAT_MILLIS else HEARTBEAT_MILLIS
@@ -253,12 +258,12 @@
         (totalBytes * MILLIS_PER_SECOND / TOTAL_BYTES_PER_SECOND)
             .coerceIn(TOTAL_INTERVAL_MILLIS, TOTAL_INTERVAL_LIMIT_MILLIS)
 
-    /** Returns what generations hold and wait for; plain calls come and go too fast to be worth a report. */
+    /** Returns the memory and queued prompts of generations; plain calls are too short to justify a report. */
     private fun memory(work: WorkByReplica): Map<String, Pair<Long, Long>> =
         work.mapValues { it.value.tokens to it.value.promptTokens }.filterValues { it.first > 0 }
 
     companion object {
-        /** Returns the work at [replicas]; replicas without work are left out. */
+        /** Returns the load of this instance on [replicas]; idle replicas are omitted. */
         fun work(replicas: Collection<Replica>): WorkByReplica =
             replicas
                 .filter { it.load.running > 0 || it.load.tokens > 0 }
@@ -266,43 +271,45 @@
 
         private const val MILLIS_PER_SECOND = 1_000L
 
-        /** Up to this many instances, messages to all cost less than the delay of sums: 16 x 1.5 messages a second. */
+        /**
+         * Up to this fleet size, a full mesh (16 x 1.5 messages per second) costs less than the delay of aggregation.
+         */
         private const val MESH_INSTANCES = 16
 
-        /** Silence longer than a few of these means that an instance is gone. */
+        /** An instance that misses several of these counts as terminated. */
         private const val HEARTBEAT_MILLIS = 1_000L
 
-        /** Several questions fit into the silence after which an aggregator is left. */
+        /** Short enough for several requests before an aggregator counts as silent. */
         private const val UNANSWERED_HEARTBEAT_MILLIS = 300L
 
-        /** Three heartbeats, and an address that is told every second or two in a large fleet. */
+        /** Three heartbeats; in a large fleet addresses are announced every one or two seconds. */
         private const val LIVE_MILLIS = 3_500L
 
-        /** After this time without a report, an address is tried only now and then. */
+        /** After this time without a report, an address receives only occasional reports. */
         private const val SILENT_MILLIS = 6_000L
 
-        /** One in this many reports goes to silent addresses too. */
+        /** One in this many reports is also sent to silent addresses. */
         private const val SILENT_ROUNDS = 20L
 
-        /** Half the time to read one prompt; instances that place by older totals choose the same replica. */
+        /** Half the time of one prompt prefill; with older totals, instances would select the same replica. */
         private const val TOTAL_INTERVAL_MILLIS = 100L
 
-        /** Shorter than the silence after which an aggregator is left. */
+        /** Shorter than the time after which an aggregator counts as silent. */
         private const val TOTAL_INTERVAL_LIMIT_MILLIS = 700L
 
-        /** What an instance may receive as totals: five a second where 95 instances use 33 replicas. */
+        /** Limit on the totals that an instance receives: five per second for 95 instances and 33 replicas. */
         private const val TOTAL_BYTES_PER_SECOND = 8_000L
 
-        /** An id and its figures in a message. */
+        /** Size of an id and its values in a message. */
         private const val BYTES_PER_ENTRY = 30
 
-        /** Between zones staler sums do, since generations are placed in the own zone first. */
+        /** Sums between zones may be staler, since generations are placed in the local zone first. */
         private const val SUM_INTERVAL_MILLIS = 200L
 
-        /** How long one instance of a zone whose sums are not known is told this zone's. */
+        /** How long one instance of a zone with unknown sums receives this zone's sums before the next one is tried. */
         private const val ZONE_PROBE_MILLIS = 800L
 
-        /** One total in this many names the members' addresses, about one in two seconds. */
+        /** One total in this many contains the members' addresses, about one every two seconds. */
         private const val ADDRESS_ROUNDS = 8L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/NotRunProof.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/NotRunProof.kt
@@ -1,10 +1,10 @@
 package io.sequoiawheel.core.relay
 
-/** Why it is certain that a replica did not run a request. Nothing else allows a refusal that says so. */
+/** Evidence that no replica executed a request. A refusal may state this only with one of these. */
 enum class NotRunProof {
-    /** No byte of the request left this process towards a replica. */
+    /** No byte of the request was sent to a replica. */
     NOTHING_SENT,
 
-    /** The replica answered that it did not run the request. */
+    /** The replica responded that it did not execute the request. */
     REFUSED_BY_REPLICA,
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/Peer.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/Peer.kt
@@ -2,7 +2,7 @@
 
 import io.sequoiawheel.core.model.ZoneName
 
-/** Another entry instance, and where it listens for datagrams and for watches. */
+/** An entry instance and the endpoint on which it accepts datagrams and watches. */
 data class Peer(
     val name: String,
     val zone: ZoneName,
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/PeerMessage.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/PeerMessage.kt
@@ -1,6 +1,6 @@
 /*
- * What entry instances tell each other about the work that they have at the replicas. Messages are datagrams: they may
- * be lost, repeated or overtake one another, so each carries whole figures and a number that tells the newer one.
+ * Load messages between entry instances. They are sent as datagrams, which may be lost, duplicated or reordered, so
+ * each message carries absolute values and a sequence number that identifies the newer one.
  */
 package io.sequoiawheel.core.relay
 
@@ -14,7 +14,7 @@
 import kotlinx.serialization.encoding.Encoder
 import kotlinx.serialization.json.Json
 
-/** The work of one or several instances at one replica: requests, memory in tokens, prompts not yet read in tokens. */
+/** The load of one or more instances on a replica: requests, memory in tokens, and unprocessed prompts in tokens. */
 @Serializable(with = PeerWorkSerializer::class)
 data class PeerWork(
     val running: Int,
@@ -32,46 +32,47 @@
         )
 }
 
-/** Work by the id of the replica. */
+/** Load by replica id. */
 typealias WorkByReplica = Map<String, PeerWork>
 
-/** The starts of replicas that told an instance that they leave, in Unix milliseconds, by the id of the replica. */
+/** Start times, in Unix milliseconds, of replicas that announced that they are leaving, by replica id. */
 typealias StartsByReplica = Map<String, Long>
 
-/** Returns the sums by replica. */
+/** Returns the sum per replica. */
 fun Iterable<WorkByReplica>.total(): WorkByReplica {
     val sums = HashMap<String, PeerWork>()
     for (work in this) work.forEach { (replica, part) -> sums.merge(replica, part, PeerWork::plus) }
     return sums
 }
 
-/** Writes the three figures as a list: a message names up to all replicas, and its bytes cross availability zones. */
+/** Encodes the values as a list to keep messages small; they may list all replicas and cross availability zones. */
 internal object PeerWorkSerializer : KSerializer<PeerWork> {
-    private const val FIGURES = 3
-    private val figures = LongArraySerializer()
-    override val descriptor: SerialDescriptor = figures.descriptor
+    private const val VALUE_COUNT = 3
+    private val listSerializer = LongArraySerializer()
+    override val descriptor: SerialDescriptor = listSerializer.descriptor
 
     override fun serialize(
         encoder: Encoder,
         value: PeerWork,
-    ) = figures.serialize(encoder, longArrayOf(value.running.toLong(), value.tokens, value.promptTokens))
+    ) = listSerializer.serialize(encoder, longArrayOf(value.running.toLong(), value.tokens, value.promptTokens))
 
     override fun deserialize(decoder: Decoder): PeerWork {
-        val values = figures.deserialize(decoder)
-        if (values.size != FIGURES) throw SerializationException("work has ${values.size} figures")
+        val values = listSerializer.deserialize(decoder)
+        if (values.size != VALUE_COUNT) throw SerializationException("work has ${values.size} values")
         return PeerWork(values[0].toInt(), values[1], values[2])
     }
 }
 
 /**
- * One message.
+ * A load message.
  *
  * @property sender name of the instance
- * @property start tells two incarnations of the sender apart; the later one has the larger number
- * @property sequence grows with each message of an incarnation
+ * @property start identifies the incarnation of the sender; a later one has a larger number
+ * @property sequence increases with each message of an incarnation
  * @property endpoint where the sender listens for messages, as `host:port`
  * @property zone the sender's availability zone
- * @property leaving replicas that announced their leaving in an answer, as far as the sender's part of the fleet knows
+ * @property leaving replicas known to the sender's part of the fleet to have announced in a response that they are
+ *   leaving
  */
 @Serializable
 sealed interface PeerMessage {
@@ -82,22 +83,22 @@
     val zone: String
     val leaving: StartsByReplica
 
-    /** Whether this message was sent before [other] of the same sender, or is the same one. */
+    /** Whether this message is not newer than [other], a message of the same sender. */
     fun isNotNewerThan(other: PeerMessage): Boolean =
         start < other.start || start == other.start && sequence <= other.sequence
 
     fun encode(): String = Json.encodeToString(serializer(), this)
 
     companion object {
-        /** Returns the message in [text], or throws [SerializationException]. */
+        /** Decodes the message in [text], or throws [SerializationException]. */
         fun decode(text: String): PeerMessage = Json.decodeFromString(serializer(), text)
     }
 }
 
 /**
- * The work of one instance.
+ * The load of one instance.
  *
- * @property wantsSums whether the receiver is to sum up the zone's work and tell the sender
+ * @property wantsSums whether the receiver should aggregate the load and send the totals to the sender
  */
 @Serializable
 @SerialName("i")
@@ -114,9 +115,9 @@
 ) : PeerMessage
 
 /**
- * The work of all instances of the sender's zone, told to the other zones.
+ * The load of all instances of the sender's zone, sent to the other zones.
  *
- * @property isForwarded whether an instance of the receiving zone passed it on
+ * @property isForwarded whether an instance of the receiving zone forwarded it
  */
 @Serializable
 @SerialName("z")
@@ -133,11 +134,11 @@
 ) : PeerMessage
 
 /**
- * The work of all instances of all zones, told to the instances of the sender's zone.
+ * The load of all instances of all zones, sent to the instances of the sender's zone.
  *
- * @property instances how many instances reported lately, in all zones
- * @property members the newest report of each instance of the zone that [work] includes, by its sequence number
- * @property addresses where the members listen; left out of most messages
+ * @property instances number of instances in all zones that reported recently
+ * @property members sequence number of the latest report that [work] includes, per instance of the zone
+ * @property addresses endpoints of the members; omitted from most messages
  */
 @Serializable
 @SerialName("f")
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/PeerRoster.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/PeerRoster.kt
@@ -3,48 +3,50 @@
 import io.sequoiawheel.core.model.Clock
 import java.util.TreeMap
 
-/** The addresses of other instances, from the platform's store and from what they send. Confined to one thread. */
+/**
+ * The known addresses of other instances, from the platform's store and from received messages. Confined to one thread.
+ */
 internal class PeerRoster(
     private val clock: Clock,
 ) {
-    private class Known(
+    private class Entry(
         val peer: Peer,
-        val heardMillis: Long,
+        val lastContactMillis: Long,
     )
 
-    private val known = TreeMap<String, Known>()
+    private val entries = TreeMap<String, Entry>()
 
-    val size: Int get() = known.size
+    val size: Int get() = entries.size
 
-    /** Adds an address from the store; it counts as heard of now unless it is known already. */
+    /** Adds an address from the store; if it is new, this counts as contact. */
     fun add(peer: Peer) {
-        known.putIfAbsent(peer.name, Known(peer, clock.nowMillis()))
+        entries.putIfAbsent(peer.name, Entry(peer, clock.nowMillis()))
     }
 
-    /** Records that [peer] was heard of. */
-    fun heard(peer: Peer) {
-        known[peer.name] = Known(peer, clock.nowMillis())
+    /** Records contact with [peer]. */
+    fun recordContact(peer: Peer) {
+        entries[peer.name] = Entry(peer, clock.nowMillis())
     }
 
     fun remove(name: String) {
-        known.remove(name)
+        entries.remove(name)
     }
 
-    operator fun get(name: String): Peer? = known[name]?.peer
+    operator fun get(name: String): Peer? = entries[name]?.peer
 
-    /** Returns all peers of which something was heard within the last two minutes, by name. */
+    /** Returns all peers with contact in the last two minutes, ordered by name. */
     fun all(): List<Peer> {
         val now = clock.nowMillis()
-        known.values.removeIf { now - it.heardMillis > FORGET_MILLIS }
-        return known.values.map { it.peer }
+        entries.values.removeIf { now - it.lastContactMillis > FORGET_MILLIS }
+        return entries.values.map { it.peer }
     }
 
-    /** Returns the peers that were heard of within [millis]. */
-    fun heardWithin(millis: Long): List<Peer> =
-        known.values.filter { clock.nowMillis() - it.heardMillis <= millis }.map { it.peer }
+    /** Returns the peers with contact in the last [millis] milliseconds. */
+    fun activeWithin(millis: Long): List<Peer> =
+        entries.values.filter { clock.nowMillis() - it.lastContactMillis <= millis }.map { it.peer }
 
     companion object {
-        /** An address that stays silent this long belongs to a machine that is gone. */
+        /** An address that is silent this long belongs to a machine that no longer exists. */
         const val FORGET_MILLIS = 120_000L
     }
 }
--- /dev/null
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ReceivedLoads.kt
@@ -0,0 +1,104 @@
+package io.sequoiawheel.core.relay
+
+import io.sequoiawheel.core.model.Clock
+import io.sequoiawheel.core.model.ZoneName
+
+/**
+ * The latest load messages of other instances; messages expire if their sender falls silent. Confined to one thread.
+ */
+internal class ReceivedLoads(
+    private val ownZone: ZoneName,
+    private val clock: Clock,
+) {
+    private class Received<T : PeerMessage>(
+        val message: T,
+        val atMillis: Long,
+    )
+
+    private val reports = HashMap<String, Received<PeerReport>>()
+    private val zones = HashMap<String, Received<ZoneReport>>()
+    private var fleet: Received<FleetReport>? = null
+
+    /** Whether no reports or totals of other instances are stored. */
+    val isEmpty: Boolean get() = reports.isEmpty() && fleet == null
+
+    /** The most recent totals of an aggregator, or null if they have expired. */
+    val totals: FleetReport? get() = fleet?.takeIf(::isFresh)?.message
+
+    /** The unexpired reports of individual instances. */
+    val instances: List<PeerReport> get() = reports.values.filter(::isFresh).map { it.message }
+
+    /** The unexpired reports of individual instances in the local zone. */
+    val members: List<PeerReport> get() = instances.filter { it.zone == ownZone.value }
+
+    /** The unexpired sums of the other zones. */
+    private val sums: List<ZoneReport> get() = zones.values.filter(::isFresh).map { it.message }
+
+    /**
+     * Stores a report. Returns false if a newer one of the same sender is known. Expired reports are not compared,
+     * since the sender may have restarted with its clock set back.
+     */
+    fun accept(report: PeerReport): Boolean {
+        val known = reports[report.sender]?.takeIf(::isFresh)
+        if (known != null && report.isNotNewerThan(known.message)) return false
+        if (report.isLeaving) reports.remove(report.sender) else reports[report.sender] = received(report)
+        return true
+    }
+
+    /** Stores the sums of another zone; of two senders, the first by name takes precedence. */
+    fun accept(report: ZoneReport) {
+        val known = zones[report.zone]
+        if (known != null && isFresh(known) && isSuperseded(report, known.message)) return
+        zones[report.zone] = received(report)
+    }
+
+    /** Stores totals; of two senders, [preferred] takes precedence, since the other may receive fewer reports. */
+    fun accept(
+        report: FleetReport,
+        preferred: String?,
+    ) {
+        val known = totals
+        val isOther = known != null && known.sender != report.sender
+        if (isOther && report.sender != preferred) return
+        if (known != null && !isOther && report.isNotNewerThan(known)) return
+        fleet = received(report)
+    }
+
+    /** Returns the sender of the latest unexpired sums of [zone], or null. */
+    fun senderOfSums(zone: ZoneName): String? = zones[zone.value]?.takeIf(::isFresh)?.message?.sender
+
+    /**
+     * Returns the load of the other instances: reports from the local zone, and the sums of other zones where known.
+     */
+    fun work(): List<WorkByReplica> =
+        members.map { it.work } + sums.map { it.work } + instancesOfUnknownZones().map { it.work }
+
+    /** Returns the number of instances included in [work]. */
+    fun count(): Int = members.size + sums.sumOf { it.instances } + instancesOfUnknownZones().size
+
+    /** Returns the replicas that announced that they are leaving, from the reports of instances and zones. */
+    fun reportedLeaving(): StartsByReplica =
+        (instances + sums).fold(emptyMap()) { known, message -> known + message.leaving }
+
+    /** Returns the replicas that announced that they are leaving, from all messages. */
+    fun leaving(): StartsByReplica = reportedLeaving() + totals?.leaving.orEmpty()
+
+    private fun instancesOfUnknownZones(): List<PeerReport> {
+        val known = sums.map { it.zone } + ownZone.value
+        return instances.filter { it.zone !in known }
+    }
+
+    private fun isSuperseded(
+        report: ZoneReport,
+        known: ZoneReport,
+    ) = if (report.sender == known.sender) report.isNotNewerThan(known) else report.sender > known.sender
+
+    private fun <T : PeerMessage> received(message: T) = Received(message, clock.nowMillis())
+
+    private fun isFresh(received: Received<*>) = clock.nowMillis() - received.atMillis <= REPORT_LIFE_MILLIS
+
+    private companion object {
+        /** Three consecutive lost reports mean that the sender has terminated or is partitioned. */
+        const val REPORT_LIFE_MILLIS = 3_500L
+    }
+}
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/RelayConfiguration.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/RelayConfiguration.kt
@@ -1,6 +1,6 @@
 /*
- * The configuration under which requests are relayed to backend servers. It is one immutable value; a newer version
- * replaces it as a whole, so that a request is handled by one version from its first to its last decision.
+ * The configuration for relaying requests to backend servers. It is one immutable value that a newer version replaces
+ * as a whole, so that all decisions about a request use the same version.
  */
 package io.sequoiawheel.core.relay
 
@@ -10,9 +10,9 @@
 import kotlinx.collections.immutable.ImmutableMap
 
 /**
- * One accepted configuration.
+ * An accepted configuration.
  *
- * @property version the operator's number; it only grows
+ * @property version version number assigned by the operator; it only increases
  * @property requiresKeys whether requests on routes that are not public need an API key
  */
 data class RelayConfiguration(
@@ -37,18 +37,19 @@
     fun workspace(key: String): Workspace? = workspaceByKey[key]
 }
 
-/** What may be repeated, and whether the response is a series of events. */
+/** Whether a request may be retried, and whether its response is an event stream. */
 enum class RequestKind { IDEMPOTENT, NON_IDEMPOTENT, STREAM }
 
 /**
- * One route.
+ * A route from a host and path prefix to its target services.
  *
- * @property timeoutMillis longest time that a request may be kept waiting for its whole response
- * @property objectiveMillis time within which a response earns its full credit
- * @property priority rank, 0 is the most urgent
- * @property maximumAttempts how many replicas one request may run on
- * @property isResumable whether a stream may be started again after its last delivered event
- * @property eventGapMillis the longest pause between events that is still on time; 0 where there is none
+ * @property timeoutMillis maximum time until the complete response
+ * @property objectiveMillis latency objective of a response
+ * @property priority priority; 0 is the most urgent
+ * @property maximumAttempts maximum number of replicas on which one request may be executed
+ * @property isResumable whether a stream may be resumed after its last delivered event
+ * @property eventGapMillis the longest pause between events that still meets the objective; 0 if there is no such
+ *   objective
  */
 data class Route(
     val name: String,
@@ -64,24 +65,24 @@
     val isResumable: Boolean,
     val eventGapMillis: Long,
 ) {
-    /** Whether a request may run again after it may have run. */
+    /** Whether a request may be retried after it may have been executed. */
     val isRepeatable: Boolean
         get() = kind == RequestKind.IDEMPOTENT || (kind == RequestKind.STREAM && isResumable)
 }
 
-/** One of the services that a route leads to, with its share of the requests. */
+/** A target service of a route with its share of the requests. */
 data class WeightedService(
     val service: ServiceName,
     val weight: Double,
 )
 
 /**
- * One service.
+ * A service and the limits of its replicas.
  *
- * @property maximumConnections connections that one replica accepts from all callers together
+ * @property maximumConnections maximum connections that one replica accepts from all callers combined
  * @property coldSeconds how long a replica stays cold after it starts
- * @property coldRequestsPerSecond requests a second that a cold replica bears
- * @property engine what a model engine offers, or null for a plain service
+ * @property coldRequestsPerSecond requests per second that a cold replica can handle
+ * @property engine capabilities of the model engine, or null for a plain service
  */
 data class RelayService(
     val name: ServiceName,
@@ -93,23 +94,23 @@
 )
 
 /**
- * A model engine.
+ * The capacity and capabilities of a model engine.
  *
  * @property memoryTokens tokens that fit into the memory of one replica
  * @property tokensPerEvent tokens in one event of a stream
- * @property movesRuns whether a running generation's memory can be copied to another replica on request
- * @property backsUpRuns whether a replica copies a running generation's memory continuously when asked to
+ * @property supportsMigration whether a running generation's memory can be copied to another replica on request
+ * @property supportsBackup whether a replica copies a running generation's memory continuously when asked to
  */
 data class EngineProfile(
     val slots: Int,
     val memoryTokens: Int,
     val bytesPerToken: Long,
     val tokensPerEvent: Int,
-    val movesRuns: Boolean,
-    val backsUpRuns: Boolean,
+    val supportsMigration: Boolean,
+    val supportsBackup: Boolean,
 )
 
-/** What a caller may send, and how long it may take or stay idle. */
+/** Limits on the size and duration of caller requests, and on idle connections. */
 data class CallerLimits(
     val headerBytes: Int,
     val bodyBytes: Int,
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/Replica.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/Replica.kt
@@ -6,32 +6,33 @@
 /**
  * Why a replica receives no new work.
  *
- * @property isFinal whether the replica's process is ending for certain, so that only its next start brings it back
+ * @property isFinal whether the replica's process is certainly terminating, so that only a restart makes it usable
+ *   again
  */
 enum class LeaveReason(
     val isFinal: Boolean,
 ) {
-    /** Its entry in the platform's list says so. */
+    /** Its entry in the platform's list is marked as draining. */
     DRAINING(isFinal = true),
 
-    /** Its entry is gone; the list also drops live replicas that it has not heard of for a while. */
+    /** Its entry was removed; entries of live replicas also expire if they are not renewed in time. */
     REMOVED(isFinal = false),
 
-    /** Another start, or another replica, answers in its place. */
+    /** Another incarnation, or another replica, responds at its address. */
     REPLACED(isFinal = false),
 
-    /** An answer that it gave to this instance says so. */
+    /** It announced this in a response to this instance. */
     ANNOUNCED(isFinal = true),
 
-    /** An answer that it gave to another instance says so. */
+    /** It announced this in a response to another instance. */
     TOLD_BY_PEER(isFinal = true),
 }
 
 /**
- * One incarnation of a replica as this instance sees it, with the work that this instance has at it. It is confined to
- * one thread. Requests in progress keep their reference after the replica has left the directory.
+ * The local state of one incarnation of a replica, including the load of this instance on it. Confined to one thread.
+ * Requests in progress keep their reference after the replica was removed from the directory.
  *
- * @param coldPhase this instance's phase in the sum of all instances' requests to the replica while it is cold
+ * @param coldPhase this instance's token bucket phase while the replica is cold; see [TokenBucket]
  */
 class Replica(
     entry: ReplicaEntry,
@@ -41,53 +42,55 @@
     private val departure = CompletableDeferred<LeaveReason>()
     private val seenAtMillis = clock.nowMillis()
 
-    /** The newest entry. */
+    /** The latest entry of this incarnation. */
     var entry: ReplicaEntry = entry
         private set
 
-    /** What this instance has running here, and how the replica has answered. */
+    /** The load on the replica and the statistics of its responses. */
     val load = ReplicaLoad()
 
-    /** Limits the rate at which this instance sends while the replica is cold. */
+    /** Limits the request rate of this instance while the replica is cold. */
     val coldRate = TokenBucket(clock, coldPhase)
 
-    /** When the replica was told or seen to leave, or null. */
+    /** When the replica started to leave, or null. */
     var leavingSinceMillis: Long? = null
         private set
 
     val isLeaving: Boolean get() = departure.isCompleted
 
-    /** Why the replica leaves, or null if it does not. */
+    /** Why the replica is leaving, or null if it is not. */
     var leaveReason: LeaveReason? = null
         private set
 
-    private var quietUntilMillis = Long.MIN_VALUE
+    private var pausedUntilMillis = Long.MIN_VALUE
 
-    /** How much longer the replica wants no requests from this instance; not positive if it takes them. */
-    val quietMillis: Long get() = if (isQuiet) quietUntilMillis - clock.nowMillis() else 0
+    /** Remaining time of the pause that the replica requested from this instance; not positive if not paused. */
+    val remainingPauseMillis: Long get() = if (isPaused) pausedUntilMillis - clock.nowMillis() else 0
 
-    val isQuiet: Boolean get() = clock.nowMillis() < quietUntilMillis
+    val isPaused: Boolean get() = clock.nowMillis() < pausedUntilMillis
 
-    /** Sends nothing for [millis] from now, as the replica asked; an earlier request for longer still holds. */
-    fun quietFor(millis: Long) {
-        quietUntilMillis = maxOf(quietUntilMillis, clock.nowMillis() + millis)
+    /**
+     * Pauses requests to the replica for [millis], as it requested; a longer pause requested earlier remains in effect.
+     */
+    fun pauseFor(millis: Long) {
+        pausedUntilMillis = maxOf(pausedUntilMillis, clock.nowMillis() + millis)
     }
 
     private var unreachableUntilMillis = Long.MIN_VALUE
     private var failedConnects = 0
 
-    /** Whether the last attempt to connect did not fail just now. */
+    /** Whether the replica is not being avoided after a failed connection attempt. */
     val isReachable: Boolean get() = clock.nowMillis() >= unreachableUntilMillis
 
-    /** Avoids the replica after a failed attempt to connect, for longer with each failure in a row. */
-    fun unreachable() {
+    /** Avoids the replica after a failed connection attempt, with exponential backoff on consecutive failures. */
+    fun markUnreachable() {
         val factor = 1L shl failedConnects.coerceAtMost(MAXIMUM_DOUBLINGS)
         unreachableUntilMillis = clock.nowMillis() + UNREACHABLE_MILLIS * factor
         failedConnects++
     }
 
-    /** Notes that the replica answered. */
-    fun reached() {
+    /** Records a response of the replica, which resets the connection backoff. */
+    fun markReachable() {
         failedConnects = 0
     }
 
@@ -95,7 +98,7 @@
 
     val isCold: Boolean get() = clock.nowMillis() < coldUntilMillis
 
-    /** Takes a newer entry of the same incarnation. */
+    /** Updates the replica with a newer entry of the same incarnation. */
     fun update(newer: ReplicaEntry) {
         entry = newer
         if (newer.coldForMillis > 0) coldFor(newer.coldForMillis)
@@ -106,7 +109,7 @@
         coldUntilMillis = maxOf(coldUntilMillis, clock.nowMillis() + millis)
     }
 
-    /** Marks the replica as leaving; runs that wait in [awaitLeaving] are told. Only the first reason is kept. */
+    /** Marks the replica as leaving and resumes all callers of [awaitLeaving]. Only the first reason is kept. */
     fun leave(reason: LeaveReason) {
         if (departure.complete(reason)) {
             leaveReason = reason
@@ -114,16 +117,21 @@
         }
     }
 
-    /** Returns when the replica leaves. */
+    /** Suspends until the replica is leaving, and returns the reason. */
     suspend fun awaitLeaving(): LeaveReason = departure.await()
 
     override fun toString(): String = entry.id.value
 
     private companion object {
-        /** About the time in which a crashed replica's entry lapses or its process starts again, in steps. */
+        /**
+         * Initial backoff; the doublings cover the time until a crashed replica's entry expires or its process
+         * restarts.
+         */
         const val UNREACHABLE_MILLIS = 800L
 
-        /** After four failures a replica is tried about every six seconds, about as long as cuts last. */
+        /**
+         * From the fourth failure on, a replica is retried about every six seconds, roughly the length of a partition.
+         */
         const val MAXIMUM_DOUBLINGS = 3
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaDirectory.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaDirectory.kt
@@ -1,7 +1,7 @@
 /*
- * The replicas that may receive work. Entries come from the platform's list; zones that operators take out come from
- * another list. An entry that is missing after the platform's store was away is kept for a grace period, since live
- * replicas need a moment to register again. A list from an older copy of the store brings back no replica that left.
+ * The directory of replicas that may receive work. Entries come from the platform's replica list, evacuated zones from
+ * another list. An entry that is missing after an outage of the platform's store is kept for a grace period, since live
+ * replicas need time to register again. A list from an older snapshot of the store brings back no replica that left.
  */
 package io.sequoiawheel.core.relay
 
@@ -9,23 +9,23 @@
 import io.sequoiawheel.core.model.InstanceId
 import io.sequoiawheel.core.model.ServiceName
 
-/** What is known of the store at the moment at which it tells the state of a list. */
-enum class ListStanding {
-    /** The store answers as usual. */
+/** How reliable a list read from the store is. */
+enum class ListReliability {
+    /** The store is operating normally, so the list is complete and current. */
     CERTAIN,
 
-    /** The store was away a moment ago, so entries of live replicas may have lapsed. */
+    /** The store was recently unavailable, so entries of live replicas may have expired. */
     AFTER_OUTAGE,
 
-    /** The store came back from an older copy: entries may be missing, and others out of date. */
+    /** The store was restored from an older snapshot: entries may be missing or out of date. */
     NEW_ERA,
 }
 
 /**
- * Holds the replicas by id. Confined to one thread.
+ * Maintains the replicas by id. Confined to one thread.
  *
- * @param coldPhase from 0 to 1, drawn by each instance; see [TokenBucket]
- * @param graceMillis how long an entry that vanished with an outage of the store is still used after its return
+ * @param coldPhase from 0 to 1, chosen randomly by each instance; see [TokenBucket]
+ * @param graceMillis how long an entry lost in an outage of the store is still used after the store is back
  */
 class ReplicaDirectory(
     private val clock: Clock,
@@ -35,48 +35,50 @@
     private val replicas = LinkedHashMap<InstanceId, Replica>()
     private val missingUntil = HashMap<InstanceId, Long>()
     private val departures = Departures(clock)
-    private val doubtful = LinkedHashMap<InstanceId, ReplicaEntry>()
+    private val possiblyStale = LinkedHashMap<InstanceId, ReplicaEntry>()
 
-    /** The zones that receive no new work. */
+    /** The evacuated zones, which receive no new work. */
     val evacuations = EvacuatedZones(clock)
 
-    /** Replaces all entries. Unless the list is certain, missing entries stay for the grace period. */
+    /**
+     * Replaces all entries. Unless the list is [ListReliability.CERTAIN], missing entries stay for the grace period.
+     */
     fun replaceAll(
         entries: Collection<ReplicaEntry>,
-        standing: ListStanding,
+        reliability: ListReliability,
     ) {
-        if (standing == ListStanding.NEW_ERA) departures.beginEra()
+        if (reliability == ListReliability.NEW_ERA) departures.beginEra()
         val ids = entries.map { it.id }.toSet()
-        doubtful.keys.retainAll(ids)
+        possiblyStale.keys.retainAll(ids)
         entries.forEach(::put)
-        replicas.keys.filter { it !in ids }.forEach { remove(it, standing != ListStanding.CERTAIN) }
+        replicas.keys.filter { it !in ids }.forEach { remove(it, reliability != ListReliability.CERTAIN) }
     }
 
     /** Adds or updates one entry. */
     fun put(entry: ReplicaEntry) {
         val known = replicas[entry.id]
-        if (known != null && departures.isUnsettled && entry.isEarlierStart(known.entry)) return
+        if (known != null && departures.isSettling && entry.isEarlierStart(known.entry)) return
         missingUntil.remove(entry.id)
-        if (known == null && departures.isDoubtful(entry)) {
-            doubtful[entry.id] = entry
+        if (known == null && departures.mayBeStale(entry)) {
+            possiblyStale[entry.id] = entry
             return
         }
-        doubtful.remove(entry.id)
+        possiblyStale.remove(entry.id)
         val replica =
             when {
                 known == null -> add(entry)
                 known.entry.isSameStart(entry) -> known.also { it.update(entry) }
-                else -> add(entry).also { replaced(known) }
+                else -> add(entry).also { markReplaced(known) }
             }
         if (entry.isDraining) replica.leave(LeaveReason.DRAINING)
     }
 
-    /** Removes one entry, at once or after the grace period. */
+    /** Removes one entry, immediately or after the grace period. */
     fun remove(
         id: InstanceId,
         afterOutage: Boolean,
     ) {
-        doubtful.remove(id)
+        possiblyStale.remove(id)
         if (afterOutage && id in replicas) {
             missingUntil.getOrPut(id) { clock.nowMillis() + graceMillis }
             return
@@ -84,39 +86,39 @@
         missingUntil.remove(id)
         val removed = replicas.remove(id) ?: return
         removed.leave(LeaveReason.REMOVED)
-        departures.removed(removed)
+        departures.recordRemoval(removed)
     }
 
-    /** Marks replicas as leaving that told another instance so; [starts] tells the start that did, by the id. */
-    fun leaveAsTold(starts: Map<String, Long>) {
+    /** Marks replicas that announced to other instances that they are leaving; [starts] are their start times by id. */
+    fun markReportedLeaving(starts: Map<String, Long>) {
         for ((id, startedAtMillis) in starts) {
             val replica = replicas[InstanceId(id)] ?: continue
             if (replica.entry.startedAtMillis == startedAtMillis) replica.leave(LeaveReason.TOLD_BY_PEER)
         }
     }
 
-    /** Returns the starts of the replicas that told this instance that they leave, by their ids. */
-    fun announcedLeavings(): Map<String, Long> =
+    /** Returns the start times of the replicas that announced to this instance that they are leaving, by id. */
+    fun announcedLeaving(): Map<String, Long> =
         replicas.values
             .filter { it.leaveReason == LeaveReason.ANNOUNCED }
             .mapNotNull { replica -> replica.entry.startedAtMillis?.let { replica.entry.id.value to it } }
             .toMap()
 
-    /** Returns the replicas of [service] that may receive new work now. */
+    /** Returns the replicas of [service] that may currently receive new work. */
     fun usable(service: ServiceName): List<Replica> {
         expire()
         return replicas.values.filter { it.entry.service == service && mayReceive(it) }
     }
 
-    /** Whether [replica] may receive work, new or moved: it is not leaving, and its zone is not taken out. */
+    /** Whether [replica] may receive new or migrated work: it is not leaving, and its zone is not evacuated. */
     fun mayReceive(replica: Replica): Boolean = !replica.isLeaving && replica.entry.zone !in evacuations
 
     /** Returns all known replicas. */
     fun all(): List<Replica> = replicas.values.toList()
 
-    private fun replaced(replica: Replica) {
+    private fun markReplaced(replica: Replica) {
         replica.leave(LeaveReason.REPLACED)
-        departures.ended(replica)
+        departures.recordEnd(replica)
     }
 
     private fun add(entry: ReplicaEntry): Replica {
@@ -132,11 +134,11 @@
             val gone = missingUntil.filterValues { it <= now }.keys
             gone.toList().forEach { remove(it, afterOutage = false) }
         }
-        if (doubtful.isNotEmpty() && !departures.isUnsettled) doubtful.values.toList().forEach(::put)
+        if (possiblyStale.isNotEmpty() && !departures.isSettling) possiblyStale.values.toList().forEach(::put)
     }
 
     private companion object {
-        /** Live replicas are back in the list about 2 s after the store's return. */
+        /** Live replicas register again about 2 s after the store is back. */
         const val REGISTRATION_GRACE_MILLIS = 2_300L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaEntry.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaEntry.kt
@@ -5,11 +5,12 @@
 import io.sequoiawheel.core.model.ZoneName
 
 /**
- * What a replica says of itself in the platform's list.
+ * A replica's registration in the platform's list.
  *
  * @property address host and port
- * @property coldForMillis how much longer the replica stays cold, from the moment at which it wrote this
- * @property startedAtMillis Unix time of its start, which tells two starts under one id apart; null if not given
+ * @property coldForMillis remaining time for which the replica is cold, as of when it wrote the entry
+ * @property startedAtMillis start time in Unix milliseconds, which identifies the incarnation of an id; null if not
+ *   provided
  */
 data class ReplicaEntry(
     val id: InstanceId,
@@ -24,10 +25,10 @@
 ) {
     val address: String get() = "$host:$port"
 
-    /** Whether [other] is about the same start of the replica. */
+    /** Whether [other] describes the same incarnation of the replica. */
     fun isSameStart(other: ReplicaEntry): Boolean = startedAtMillis == other.startedAtMillis && address == other.address
 
-    /** Whether this entry is about an earlier start of the replica than [other]. */
+    /** Whether this entry describes an earlier incarnation of the replica than [other]. */
     fun isEarlierStart(other: ReplicaEntry): Boolean =
         startedAtMillis != null && other.startedAtMillis != null && startedAtMillis < other.startedAtMillis
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaLoad.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaLoad.kt
@@ -1,31 +1,30 @@
 /*
- * The work that a replica has, from two sources of different age: what this instance runs there (exact), and what the
- * other instances say that they run there (a fraction of a second old). What replicas say of their load themselves is
- * older than both and is not used.
+ * The load on a replica, from two sources: the load of this instance (exact) and the load that the other instances
+ * report (a fraction of a second old). The load that replicas report themselves is older than both and is not used.
  */
 package io.sequoiawheel.core.relay
 
-/** Counts of one replica. Confined to one thread. */
+/** Load counters and response statistics of one replica. Confined to one thread. */
 class ReplicaLoad {
     /** Requests of this instance in progress. */
     var running = 0
         private set
 
-    /** Memory that the generations of this instance will hold at their end, and copies made for them, in tokens. */
+    /** Memory, in tokens, that this instance's generations will hold when they end, including that of their copies. */
     var tokens = 0L
         private set
 
-    /** Prompts of this instance's generations that have not begun, in tokens. */
+    /** Prompt tokens of this instance's generations that have not started to generate. */
     var promptTokens = 0L
         private set
 
     /** Requests of the other instances in progress. */
     var remoteRunning = 0
 
-    /** Memory of the other instances' generations, in tokens. */
+    /** Memory of the other instances' generations and copies, in tokens. */
     var remoteTokens = 0L
 
-    /** Prompts of the other instances' generations that have not begun, in tokens. */
+    /** Prompt tokens of the other instances' generations that have not started to generate. */
     var remotePromptTokens = 0L
 
     /** Smoothed share of responses that failed, from 0 to 1. */
@@ -40,24 +39,24 @@
     val totalTokens: Long get() = tokens + remoteTokens
     val totalPromptTokens: Long get() = promptTokens + remotePromptTokens
 
-    /** Adds a request that will hold [tokens] of memory. */
+    /** Adds a request that will use [tokens] of memory. */
     fun begin(tokens: Long) {
         running++
         this.tokens += tokens
     }
 
-    /** Ends a request begun with the same [tokens]. */
+    /** Removes a request that was added with the same [tokens]. */
     fun end(tokens: Long) {
         running--
         this.tokens -= tokens
     }
 
-    /** Adds a prompt of [tokens] that the replica has to read before it generates. */
+    /** Adds a prompt of [tokens] that the replica must process before it generates. */
     fun beginPrompt(tokens: Long) {
         promptTokens += tokens
     }
 
-    /** Ends a prompt begun with the same [tokens], when its generation began or was given up. */
+    /** Removes a prompt that was added with the same [tokens], when its generation starts or is abandoned. */
     fun endPrompt(tokens: Long) {
         promptTokens -= tokens
     }
@@ -67,27 +66,27 @@
         this.tokens += tokens
     }
 
-    /** Frees what [reserve] took. */
+    /** Releases [tokens] of memory reserved by [reserve]. */
     fun free(tokens: Long) {
         this.tokens -= tokens
     }
 
     /** Records whether a response was a failure of the replica. */
-    fun outcome(failed: Boolean) {
+    fun recordOutcome(failed: Boolean) {
         failureShare += ((if (failed) 1.0 else 0.0) - failureShare) * OUTCOME_WEIGHT
     }
 
-    /** Records the time that a plain call took. */
-    fun responded(millis: Long) {
+    /** Records the response time of a plain call. */
+    fun recordResponseTime(millis: Long) {
         val previous = responseMillis ?: millis.toDouble()
         responseMillis = previous + (millis - previous) * TIME_WEIGHT
     }
 
     private companion object {
-        /** Weight of the newest outcome: about the last eight count. */
+        /** Weight of the newest outcome: about the last eight outcomes contribute. */
         const val OUTCOME_WEIGHT = 0.12
 
-        /** Weight of the newest response time: about the last five count. */
+        /** Weight of the newest response time: about the last five times contribute. */
         const val TIME_WEIGHT = 0.2
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaPlacement.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaPlacement.kt
@@ -1,31 +1,31 @@
 /*
- * Where a request goes, or that it is refused at once. A replica that asked for quiet receives nothing; what it would
- * have received goes to the others only as far as they have room, so that one after the other is not pushed over.
+ * Placement of requests on replicas. A paused replica, which asked to receive no requests for a while, receives none;
+ * its share goes to the other replicas only while they have capacity, to avoid a cascading overload.
  */
 package io.sequoiawheel.core.relay
 
 import org.apache.commons.rng.UniformRandomProvider
 
-/** Where a request is to be sent. */
+/** The result of placing a request. */
 sealed interface Placement {
-    /** To [replica]. */
-    class At(
+    /** The request is sent to [replica]. */
+    class Assigned(
         val replica: Replica,
     ) : Placement
 
-    /** Nowhere now: the first replica that asked for quiet may be asked again after [afterMillis]. */
-    class Later(
-        val afterMillis: Long,
+    /** No replica is available now; the first paused replica accepts requests again after [retryAfterMillis]. */
+    class Deferred(
+        val retryAfterMillis: Long,
     ) : Placement
 
-    /** Nowhere: no replica takes requests, and none has said when it will. */
-    data object Nowhere : Placement
+    /** No replica accepts requests, and none has announced when it will. */
+    data object Unavailable : Placement
 }
 
 /**
  * Places requests among the usable replicas of a service. Confined to one thread.
  *
- * @param mayStart takes one request of the rate of a cold replica; warm replicas always allow it
+ * @param mayStart consumes one request of the rate limit of a cold replica; always returns true for warm replicas
  */
 class ReplicaPlacement(
     private val selection: ReplicaSelection,
@@ -35,7 +35,7 @@
     /**
      * Places a plain call.
      *
-     * @param tried replicas that were asked for this call before; they are asked again only if [mayReturn]
+     * @param tried replicas already tried for this call; they are tried again only if [mayReturn]
      */
     fun forCall(
         usable: List<Replica>,
@@ -48,7 +48,7 @@
         return place(selection.forCall(ready.ifEmpty { candidates.filter { !it.isCold } }), usable)
     }
 
-    /** Places a generation of [demand], at a replica in [excluded] only if there is no other. */
+    /** Places a generation of [demand]; replicas in [excluded] are used only if there is no other. */
     fun forGeneration(
         usable: List<Replica>,
         excluded: Set<Replica>,
@@ -67,7 +67,7 @@
         mayReturn: Boolean,
         hasRoom: (Replica) -> Boolean,
     ): List<Replica> {
-        val asked = usable.filter { !it.isQuiet }
+        val asked = usable.filter { !it.isPaused }
         val fresh = asked.filter { it !in excluded }
         val candidates = if (fresh.isEmpty() && mayReturn) asked else fresh
         return if (asked.size == usable.size) candidates else candidates.filter(hasRoom)
@@ -77,17 +77,17 @@
         chosen: Replica?,
         usable: List<Replica>,
     ): Placement {
-        if (chosen != null) return Placement.At(chosen)
-        val quiet = usable.filter { it.isQuiet }
-        return if (quiet.isEmpty()) Placement.Nowhere else Placement.Later(waitMillis(quiet))
+        if (chosen != null) return Placement.Assigned(chosen)
+        val paused = usable.filter { it.isPaused }
+        return if (paused.isEmpty()) Placement.Unavailable else Placement.Deferred(waitMillis(paused))
     }
 
-    /** Returns when callers may come back while all of [usable] ask for quiet, or null if not all do. */
-    fun comeBackMillis(usable: List<Replica>): Long? =
-        if (usable.isNotEmpty() && usable.all { it.isQuiet }) waitMillis(usable) else null
+    /** Returns the time after which callers may retry if all of [usable] are paused, or null if they are not. */
+    fun retryAfterMillis(usable: List<Replica>): Long? =
+        if (usable.isNotEmpty() && usable.all { it.isPaused }) waitMillis(usable) else null
 
-    private fun waitMillis(quiet: List<Replica>): Long {
-        val waitMillis = quiet.minOf { it.quietMillis }
+    private fun waitMillis(paused: List<Replica>): Long {
+        val waitMillis = paused.minOf { it.remainingPauseMillis }
         val spreadMillis = (waitMillis * SPREAD_SHARE).coerceAtLeast(MINIMUM_SPREAD_MILLIS)
         return waitMillis + (random.nextDouble() * spreadMillis).toLong()
     }
@@ -100,10 +100,13 @@
     ) = load.totalRunning < engine.slots && load.totalTokens + demand.tokens <= engine.memoryTokens
 
     private companion object {
-        /** As many calls may wait at a replica as run there; a wait of one response time is still on time. */
+        /**
+         * As many calls may be queued on a replica as it executes; waiting for one response time still meets the
+         * objective.
+         */
         const val CALLS_PER_SLOT = 2
 
-        /** Callers that were refused together come back over this share of their wait. */
+        /** Jitter as a share of the wait, so that callers refused together do not retry at the same time. */
         const val SPREAD_SHARE = 0.5
         const val MINIMUM_SPREAD_MILLIS = 200.0
     }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaSelection.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaSelection.kt
@@ -1,13 +1,13 @@
 /*
- * Which replica receives a request. Plain calls go to the replica with the smallest expected wait; generations go where
- * the memory that they will need is free. Both prefer the instance's own availability zone among equals.
+ * Replica selection. Plain calls go to the replica with the smallest expected wait, generations to one with enough free
+ * memory. Both prefer the local availability zone among otherwise equal replicas.
  */
 package io.sequoiawheel.core.relay
 
 import io.sequoiawheel.core.model.ZoneName
 import org.apache.commons.rng.UniformRandomProvider
 
-/** What a generation will need: [tokens] of memory at its end. */
+/** The expected size of a generation, which needs [tokens] of memory when it ends. */
 data class GenerationDemand(
     val promptTokens: Int,
     val outputTokens: Int,
@@ -15,7 +15,7 @@
     val tokens: Long get() = promptTokens.toLong() + outputTokens
 }
 
-/** Chooses among usable replicas. Confined to one thread. */
+/** Selects among usable replicas by lowest cost. Confined to one thread. */
 class ReplicaSelection(
     private val ownZone: ZoneName,
     private val random: UniformRandomProvider,
@@ -24,8 +24,8 @@
     fun forCall(candidates: List<Replica>): Replica? = reachable(candidates).minByOrNull { callCost(it) }
 
     /**
-     * Returns the replica for a generation of [demand], or null if [candidates] is empty. Where none has room, the one
-     * that will have room first by its load is chosen; engines queue what they cannot start.
+     * Returns the replica for a generation of [demand], or null if [candidates] is empty. If none has enough free
+     * memory, the one that is expected to have it first is selected; engines queue generations that they cannot start.
      */
     fun forGeneration(
         candidates: List<Replica>,
@@ -34,12 +34,13 @@
     ): Replica? = reachable(candidates).minByOrNull { generationCost(it, demand, engine) }
 
     /**
-     * Returns the replica that keeps a copy of a generation of [demand], or null if none can without crowding out
+     * Returns the replica that stores a copy of a generation of [demand], or null if none can do so without displacing
      * generations.
      *
-     * @param sourceZone where the generation runs
-     * @param isUrgent whether the generation's replica is leaving, so that the time of the copy decides; otherwise the
-     *   copy is best kept in another zone than the generation, and at home if the generation is not
+     * @param sourceZone the zone in which the generation runs
+     * @param isUrgent whether the generation's replica is leaving, so that the duration of the copy matters most;
+     *   otherwise the copy is preferably placed in another zone than the generation, and in the local zone if the
+     *   generation is remote
      */
     fun forCopy(
         candidates: List<Replica>,
@@ -96,11 +97,11 @@
     ): Double {
         val load = replica.load
         val memory = (load.totalTokens + demand.tokens).toDouble() / engine.memoryTokens
-        val overfull = maxOf(0.0, memory - FULL_MEMORY_SHARE) * OVERFULL_COST_FACTOR
+        val overcommit = maxOf(0.0, memory - FULL_MEMORY_SHARE) * OVERCOMMIT_COST_FACTOR
         val zonePenalty = if (replica.entry.zone == ownZone) 0.0 else ZONE_COST_SHARE
         val coldPenalty = if (replica.isCold) COLD_COST_SHARE else 0.0
-        val reading = load.totalPromptTokens.toDouble() / PROMPT_TOKENS_PER_COST
-        return memory + overfull + reading + load.totalRunning * RUN_COST_SHARE + load.failureShare +
+        val prefill = load.totalPromptTokens.toDouble() / PROMPT_TOKENS_PER_COST
+        return memory + overcommit + prefill + load.totalRunning * RUN_COST_SHARE + load.failureShare +
             zonePenalty + coldPenalty + jitter() * JITTER_SHARE
     }
 
@@ -110,62 +111,64 @@
     private fun jitter() = random.nextDouble()
 
     private companion object {
-        /** Share of the slots that may be busy before queueing is expected. */
+        /** Share of the slots that may be in use before queueing is expected. */
         const val QUEUE_FREE_SHARE = 0.5
 
-        /** Assumed response time of a plain call before any was measured. */
+        /** Assumed response time of a plain call before the first measurement. */
         const val INITIAL_RESPONSE_MILLIS = 40.0
 
-        /** What a failed call costs a caller, as time. */
+        /** Cost of a failed call to the caller, expressed as time. */
         const val FAILURE_COST_MILLIS = 400.0
 
-        /** Half a usual response time: calls in the own zone are not lost when zones are cut off from each other. */
+        /** Half a typical response time; calls within the local zone survive a partition between zones. */
         const val ZONE_COST_MILLIS = 25.0
 
-        /** What starting at a cold replica costs, as time. */
+        /** Cost of using a cold replica, expressed as time. */
         const val COLD_COST_MILLIS = 30.0
 
-        /** Share of a replica's memory that must be freer elsewhere to risk a cut between zones. */
+        /** Share of memory by which a replica in another zone must be freer to justify the risk of a partition. */
         const val ZONE_COST_SHARE = 0.25
 
-        /** A run slows its neighbours by under 2% a step, and its prompt delays them. */
+        /** A generation slows the others on its replica by less than 2% per step, and its prompt delays them. */
         const val RUN_COST_SHARE = 0.01
 
-        /** Cold replicas are used when the others are a quarter fuller. */
+        /** Cold replicas are used if the others are fuller by a quarter of the memory. */
         const val COLD_COST_SHARE = 0.25
 
         /**
-         * Prompt tokens ahead that weigh as much as all of a replica's memory: a replica that also generates reads
-         * about that many in the objective for the first event.
+         * Number of queued prompt tokens that costs as much as the whole memory of a replica: about as many as a
+         * replica that also generates processes within the objective for the first event.
          */
         const val PROMPT_TOKENS_PER_COST = 12_000.0
 
-        /** Memory beyond this share is likely to preempt generations that outgrow their estimate. */
+        /** Above this share of memory, generations that exceed their estimate are likely to be preempted. */
         const val FULL_MEMORY_SHARE = 0.85
 
-        /** Makes any replica with room cheaper than one without. */
-        const val OVERFULL_COST_FACTOR = 4.0
+        /** Makes any replica with enough free memory cheaper than one without. */
+        const val OVERCOMMIT_COST_FACTOR = 4.0
 
         /**
-         * Backups must leave the rest of the memory to generations that start and to urgent copies. Where memory does
-         * not suffice for all backups, more streams are lost at 0.55 and at 0.85.
+         * Backups must leave the remaining memory to new generations and urgent copies. If memory does not suffice for
+         * all backups, more streams are lost at 0.55 and at 0.85.
          */
         const val COPY_MEMORY_SHARE = 0.7
 
-        /** Without a copy the generation is lost, and a replica that has no room refuses within milliseconds. */
+        /**
+         * Without a copy the generation is lost, and a replica without enough memory refuses it within milliseconds.
+         */
         const val URGENT_COPY_MEMORY_SHARE = 1.0
 
-        /** Copies between zones take twice as long, and all copies off a leaving replica share its link. */
+        /** Copies between zones take twice as long, and all copies from a leaving replica share its network link. */
         const val URGENT_COPY_ZONE_COST_SHARE = 1.0
 
         /**
-         * A backup in another zone than its source outlives the loss of that zone's replicas, and one in the
-         * instance's own zone outlives a cut; an urgent copy between zones may not end in time. Memory must be much
-         * freer elsewhere to give that up.
+         * A backup in another zone than its source survives the loss of the source zone's replicas, and one in the
+         * local zone survives a partition; an urgent copy between zones may not finish in time. Another placement is
+         * chosen only if it has much more free memory.
          */
         const val COPY_ZONE_COST_SHARE = 0.5
 
-        /** Breaks ties between instances that see the same loads. */
+        /** Randomizes the choice among instances that see the same loads. */
         const val JITTER_SHARE = 0.03
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/RouteTable.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/RouteTable.kt
@@ -1,6 +1,6 @@
 package io.sequoiawheel.core.relay
 
-/** Finds the route of a request by its host and the longest prefix of its path. */
+/** Finds the route of a request by its host and longest matching path prefix. */
 internal class RouteTable(
     routes: Collection<Route>,
 ) {
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/OwnReports.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/SentReports.kt
@@ -1,10 +1,10 @@
 package io.sequoiawheel.core.relay
 
-/** The last reports of this instance, to tell its part of a sum that includes one of them. Confined to one thread. */
-internal class OwnReports {
+/** The last reports of this instance, used to subtract its own load from a received total. Confined to one thread. */
+internal class SentReports {
     private val reports = ArrayDeque<PeerReport>()
 
-    /** The work that was reported last. */
+    /** The work in the latest report. */
     val newest: WorkByReplica get() = reports.lastOrNull()?.work.orEmpty()
 
     fun add(report: PeerReport) {
@@ -12,11 +12,11 @@
         if (reports.size > KEPT) reports.removeFirst()
     }
 
-    /** Returns the work that the report with [sequence] told, or null if it is not kept. */
+    /** Returns the work in the report with [sequence], or null if it is no longer retained. */
     operator fun get(sequence: Long): WorkByReplica? = reports.find { it.sequence == sequence }?.work
 
     private companion object {
-        /** Three seconds at ten reports a second, the life of a sum. */
+        /** Three seconds at ten reports per second, the lifetime of a total. */
         const val KEPT = 32
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ShutdownAdmission.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ShutdownAdmission.kt
@@ -1,30 +1,30 @@
 package io.sequoiawheel.core.relay
 
 /**
- * Which requests an instance still takes while it shuts down. A request that may not end in time is better served by
- * another instance, which the caller reaches when it comes back.
+ * Admission of requests during shutdown. A request that may not finish in time is refused, so that the caller retries
+ * it on another instance.
  */
 object ShutdownAdmission {
     /**
-     * Returns whether a request that comes [remainingMillis] before the end of the process should end in time.
+     * Returns whether a request received [remainingMillis] before the process exits is expected to finish in time.
      *
-     * @param demand what a generation will need; null for other requests
+     * @param demand expected size of a generation; null for other requests
      */
-    fun mayEnd(
+    fun canFinish(
         route: Route,
         demand: GenerationDemand?,
         remainingMillis: Long,
-    ): Boolean = remainingMillis >= minOf(route.timeoutMillis, neededMillis(demand))
+    ): Boolean = remainingMillis >= minOf(route.timeoutMillis, estimatedMillis(demand))
 
-    private fun neededMillis(demand: GenerationDemand?): Long =
+    private fun estimatedMillis(demand: GenerationDemand?): Long =
         if (demand == null) CALL_MILLIS else FIRST_TOKEN_MILLIS + demand.outputTokens * TOKEN_MILLIS
 
-    /** Calls end well within this time, repeats included. */
+    /** Calls finish well within this time, including retries. */
     private const val CALL_MILLIS = 2_500L
 
-    /** The objective for the first event of the deployments is 1.5 to 1.8 s. */
+    /** The deployments' latency objective for the first event is 1.5 to 1.8 s. */
     private const val FIRST_TOKEN_MILLIS = 1_500L
 
-    /** Engines make a token in 7 ms and more, 8 ms in the mean of a full day. */
+    /** Engines take at least 7 ms per token, 8 ms on average over a full day. */
     private const val TOKEN_MILLIS = 10L
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/SignalQueue.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/SignalQueue.kt
@@ -6,13 +6,13 @@
 import kotlinx.coroutines.selects.select
 
 /**
- * An unbounded queue whose reader also wakes up when nothing arrives. A signal that arrives at the very end of the wait
- * is not lost, as it could be if a timeout cancelled the reader.
+ * An unbounded queue with a timed receive. A signal that arrives just as the timeout expires is not lost, as it could
+ * be if the timeout cancelled the receiver.
  */
 class SignalQueue<T : Any> {
     private val channel = Channel<T>(Channel.UNLIMITED)
 
-    /** Where signals are sent. */
+    /** The sending side of the queue. */
     val sender: SendChannel<T> get() = channel
 
     /** Returns the next signal, or null if none arrives within [millis]. */
--- /dev/null
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/SlidingWindowRetryBudget.kt
@@ -0,0 +1,49 @@
+/*
+ * Limits retries to the replicas of a service across all instances without coordination. The part proportional to the
+ * requests adds up across instances; the fixed part is divided by the largest number of instances.
+ */
+package io.sequoiawheel.core.relay
+
+import io.sequoiawheel.core.model.Clock
+
+/**
+ * Counts requests and retries of one service in a sliding window. Not thread-safe.
+ *
+ * @param ratio retries allowed per request
+ * @param extra returns the additional retries allowed to this instance in one window
+ * @param windowMillis length of the window
+ */
+class SlidingWindowRetryBudget(
+    private val clock: Clock,
+    private val ratio: Double,
+    private val extra: () -> Int,
+    private val windowMillis: Long,
+) {
+    private val requests = ArrayDeque<Long>()
+    private val retries = ArrayDeque<Long>()
+
+    /** Records the first attempt of a request. */
+    fun recordRequest() {
+        requests.addLast(clock.nowMillis())
+        expire()
+    }
+
+    /** Consumes one retry, or returns false if the budget of the window is exhausted. */
+    fun tryRetry(): Boolean {
+        expire()
+        val allowed = retries.size + 1 <= requests.size * ratio * SAFETY_SHARE + extra()
+        if (allowed) retries.addLast(clock.nowMillis())
+        return allowed
+    }
+
+    private fun expire() {
+        val oldest = clock.nowMillis() - windowMillis
+        while (requests.isNotEmpty() && requests.first() < oldest) requests.removeFirst()
+        while (retries.isNotEmpty() && retries.first() < oldest) retries.removeFirst()
+    }
+
+    private companion object {
+        /** Safety margin, since requests and their retries may fall into different windows of the observer. */
+        const val SAFETY_SHARE = 0.8
+    }
+}
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/StoreEras.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/StoreEras.kt
@@ -1,28 +1,29 @@
 /*
- * The eras of the platform's store. The store may come back from a copy some seconds old, and then counts its revisions
- * from there again; each answer names the era that it belongs to. Revisions compare only inside one era.
+ * The eras (epochs) of the platform's store. The store may be restored from a snapshot that is some seconds old, after
+ * which it reuses revisions; each response states its era. Revisions are comparable only within one era.
  */
 package io.sequoiawheel.core.relay
 
 import io.sequoiawheel.core.model.Clock
 
-/** How the era of an answer compares with what was known. */
+/** How the era of a response compares with the current era. */
 enum class EraOrder { CURRENT, NEW, OLDER }
 
-/** Orders the answers of the store by their eras. Confined to one thread. */
+/** Orders the responses of the store by era. Confined to one thread. */
 class StoreEras(
     private val clock: Clock,
 ) {
-    /** The newest era, or null as long as no answer named one. */
+    /** The newest era, or null until a response states one. */
     var current: Long? = null
         private set
 
     private var seenAtMillis = clock.nowMillis()
 
     /**
-     * Takes the era of an answer, null if it named none that can be read: such an answer counts as one of the current
-     * era. A skipped era is a new one. A lower era is that of a late answer, whose content must not be used; once no
-     * answer of the current era has come for a while, the store has been set back and the lower era is the new one.
+     * Processes the era of a response. Null, if the response states no readable era, counts as the current era. A
+     * higher era is new even if some were skipped. A lower era belongs to a late response, whose content must not be
+     * used; if no response of the current era arrived for a while, the store was reset and the lower era is the new
+     * one.
      */
     fun observe(era: Long?): EraOrder {
         val known = current
@@ -42,7 +43,7 @@
     }
 
     private companion object {
-        /** Twice the longest life of a call to the store, a watch that waits. */
+        /** Twice the maximum duration of a call to the store, which is that of a waiting watch. */
         const val SET_BACK_MILLIS = 60_000L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/TokenBucket.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/TokenBucket.kt
@@ -3,10 +3,10 @@
 import io.sequoiawheel.core.model.Clock
 
 /**
- * A token bucket whose rate is given with each call, since it follows the number of instances. Not thread-safe.
+ * A token bucket whose rate is passed with each call, since it depends on the number of instances. Not thread-safe.
  *
- * @param phase from 0 to 1, different for each instance; it keeps many slow buckets from allowing their first requests
- *   at the same moment
+ * @param phase from 0 to 1, different for each instance, so that many slow buckets do not allow their first requests at
+ *   the same time
  */
 class TokenBucket(
     private val clock: Clock,
@@ -16,9 +16,9 @@
     private var refilledMillis = clock.nowMillis()
 
     /**
-     * Takes a token from a bucket that refills with [perSecond], or returns false. The bucket holds [burst] tokens, but
-     * at least one, so that a slow rate is not lost. It starts with [burst] tokens, less its phase if that is below
-     * one.
+     * Takes a token from the bucket, which refills at [perSecond], or returns false if it is empty. The capacity is
+     * [burst] tokens but at least one, so that slow rates still produce tokens. The bucket starts with [burst] tokens,
+     * minus its phase if [burst] is less than one.
      */
     fun tryTake(
         perSecond: Double,
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/ChangeHistoryTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/ChangeHistoryTest.kt
@@ -6,7 +6,7 @@
 
 class ChangeHistoryTest {
     @Test
-    fun `a reader gets the changes after its revision in their order`() {
+    fun `a reader gets the changes after its revision in order`() {
         val history = ChangeHistory<String>()
         history.restart(10)
         history.append(12, listOf("a"))
@@ -18,7 +18,7 @@
     }
 
     @Test
-    fun `a reader within a batch gets it whole`() {
+    fun `a revision inside a batch returns the whole batch`() {
         val history = ChangeHistory<String>()
         history.restart(10)
         history.append(15, listOf("a", "b"))
@@ -26,14 +26,14 @@
     }
 
     @Test
-    fun `a reader from before the start is told so`() {
+    fun `a revision before the start of the history returns null`() {
         val history = ChangeHistory<String>()
         history.restart(10)
         assertNull(history.after(9))
     }
 
     @Test
-    fun `a revision without changes moves forward only`() {
+    fun `appending an older revision does not move the revision back`() {
         val history = ChangeHistory<String>()
         history.restart(10)
         history.append(14, emptyList())
@@ -43,7 +43,7 @@
     }
 
     @Test
-    fun `the oldest changes go first and readers before them are told so`() {
+    fun `the oldest changes are evicted first, and readers behind them get null`() {
         val history = ChangeHistory<Int>(limit = 3)
         history.restart(0)
         for (revision in 1..5) history.append(revision.toLong(), listOf(revision))
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/ConfigurationOrderTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/ConfigurationOrderTest.kt
@@ -12,38 +12,41 @@
     private val order = ConfigurationOrder(Clock { nowMillis })
 
     @Test
-    fun `a copy with an older version leaves the newer one in force and proves nothing`() {
-        assertTrue(order.shown(era = 1, revision = 40, version = 7))
-        assertTrue(order.isProof(nowMillis))
+    fun `an older version in a snapshot does not come into force and confirms nothing`() {
+        assertTrue(order.observe(era = 1, revision = 40, version = 7))
+        assertTrue(order.confirmsCurrent(nowMillis))
         nowMillis = 1_000
-        assertFalse(order.shown(era = 2, revision = 30, version = 6))
+        assertFalse(order.observe(era = 2, revision = 30, version = 6))
         assertEquals(7, order.version)
-        assertFalse(order.isProof(4_000))
+        assertFalse(order.confirmsCurrent(4_000))
     }
 
     @Test
-    fun `versions whose revisions are given out again come into force in the new era`() {
-        order.shown(era = 1, revision = 40, version = 7)
-        assertTrue(order.shown(era = 2, revision = 31, version = 8))
-        assertFalse(order.shown(era = 2, revision = 30, version = 9), "an older revision of the same era")
+    fun `a version with a reused revision comes into force in the new era`() {
+        order.observe(era = 1, revision = 40, version = 7)
+        assertTrue(order.observe(era = 2, revision = 31, version = 8))
+        assertFalse(
+            order.observe(era = 2, revision = 30, version = 9),
+            "an older revision of the same era must be ignored",
+        )
     }
 
     @Test
-    fun `a version that was lost unseen may come while the operator may write it again`() {
-        order.shown(era = 1, revision = 40, version = 7)
-        order.shown(era = 2, revision = 38, version = 7)
-        assertFalse(order.isProof(nowMillis + 1_999))
-        assertTrue(order.isProof(nowMillis + 2_000))
+    fun `nothing is confirmed while the operator may rewrite a lost version that was never read`() {
+        order.observe(era = 1, revision = 40, version = 7)
+        order.observe(era = 2, revision = 38, version = 7)
+        assertFalse(order.confirmsCurrent(nowMillis + 1_999))
+        assertTrue(order.confirmsCurrent(nowMillis + 2_000))
     }
 
     @Test
-    fun `an older version that nobody replaces proves the one in force in the end`() {
-        order.shown(era = 1, revision = 40, version = 7)
-        order.shown(era = 2, revision = 30, version = 6)
-        assertTrue(order.isProof(nowMillis + 10_000))
+    fun `an older version that is not replaced confirms the one in force after the settling limit`() {
+        order.observe(era = 1, revision = 40, version = 7)
+        order.observe(era = 2, revision = 30, version = 6)
+        assertTrue(order.confirmsCurrent(nowMillis + 10_000))
     }
 
-    /** The operator's versions and a store that forgets the newest ones. */
+    /** A random history of configuration versions in a store that is sometimes restored from an older snapshot. */
     private class History(
         seed: Long,
     ) {
@@ -62,7 +65,7 @@
                     revision = written.last().first
                 } else {
                     revision += 1 + random.nextInt(3)
-                    // After a copy came back, the newest version is written again, or a later one.
+                    // After a restore, the newest version is rewritten, or a later one is written.
                     version += random.nextInt(3)
                     written += revision to version
                 }
@@ -72,15 +75,15 @@
     }
 
     private fun interface Order {
-        fun shown(
+        fun observe(
             era: Long,
             revision: Long,
             version: Long,
         ): Boolean
     }
 
-    /** Returns the first version that replaced a newer one, or null. */
-    private fun firstRegress(
+    /** Returns the first version that replaced a newer one, or null if none did. */
+    private fun firstRegression(
         seed: Long,
         order: Order,
     ): Long? {
@@ -88,7 +91,7 @@
         var inForce = 0L
         for ((era, revision, version) in history.states) {
             if (history.random.nextInt(3) == 0) continue
-            if (!order.shown(era, revision, version)) continue
+            if (!order.observe(era, revision, version)) continue
             if (version < inForce) return version
             inForce = version
         }
@@ -96,26 +99,29 @@
     }
 
     @Test
-    fun `no random history of copies brings an older version into force`() {
+    fun `no random history of restores brings an older version into force`() {
         for (seed in 1L..SEEDS) {
             val order = ConfigurationOrder(Clock { 0 })
-            assertEquals(null, firstRegress(seed) { era, revision, version -> order.shown(era, revision, version) })
+            assertEquals(
+                null,
+                firstRegression(seed) { era, revision, version -> order.observe(era, revision, version) },
+            )
         }
     }
 
     @Test
-    fun `the random histories find an order that believes each era's newest revision`() {
+    fun `the random histories detect an order that accepts the newest revision of each era`() {
         var newest = 0L to 0L
-        val regresses =
+        val regressions =
             (1L..SEEDS).mapNotNull { seed ->
                 newest = 0L to 0L
-                firstRegress(seed) { era, revision, _ ->
+                firstRegression(seed) { era, revision, _ ->
                     val isNewer = compareValuesBy(era to revision, newest, { it.first }, { it.second }) > 0
                     if (isNewer) newest = era to revision
                     isNewer
                 }
             }
-        assertTrue(regresses.size > SEEDS / 2, "${regresses.size} of $SEEDS histories regress")
+        assertTrue(regressions.size > SEEDS / 2, "${regressions.size} of $SEEDS histories regress")
     }
 
     private companion object {
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/DeliveryTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/DeliveryTest.kt
@@ -5,7 +5,7 @@
 
 class DeliveryTest {
     @Test
-    fun `an event that two replicas sent is delivered once`() {
+    fun `an event sent by two replicas is delivered once`() {
         val delivery = Delivery(firstAfter = null)
         val decisions = listOf(1L, 2L, 2L, 1L, 3L).map(delivery::decide)
         assertEquals(
@@ -22,7 +22,7 @@
     }
 
     @Test
-    fun `an event after a missing one is not delivered`() {
+    fun `an event after a gap is not delivered`() {
         val delivery = Delivery(firstAfter = 4)
         assertEquals(DeliveryDecision.GAP, delivery.decide(6))
         assertEquals(DeliveryDecision.DELIVER, delivery.decide(5))
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/EvacuatedZonesTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/EvacuatedZonesTest.kt
@@ -11,9 +11,9 @@
     private val zone = ZoneName("a")
 
     @Test
-    fun `a zone that a copy of the store does not know as taken out stays out until it could be written again`() {
+    fun `an evacuated zone that a restored snapshot lacks stays evacuated until it could be rewritten`() {
         evacuated.set(zone, isOut = true)
-        evacuated.replaceAll(emptySet(), ListStanding.NEW_ERA)
+        evacuated.replaceAll(emptySet(), ListReliability.NEW_ERA)
         assertEquals(setOf(zone), evacuated.zones)
         nowMillis = 9_999
         assertEquals(setOf(zone), evacuated.zones)
@@ -22,19 +22,19 @@
     }
 
     @Test
-    fun `a second copy does not prolong the wait for a zone that nobody takes out again`() {
+    fun `a second restore does not extend the hold of a zone that is not evacuated again`() {
         evacuated.set(zone, isOut = true)
-        evacuated.replaceAll(emptySet(), ListStanding.NEW_ERA)
+        evacuated.replaceAll(emptySet(), ListReliability.NEW_ERA)
         nowMillis = 6_000
-        evacuated.replaceAll(emptySet(), ListStanding.NEW_ERA)
+        evacuated.replaceAll(emptySet(), ListReliability.NEW_ERA)
         nowMillis = 10_000
         assertEquals(emptySet<ZoneName>(), evacuated.zones)
     }
 
     @Test
-    fun `a zone that the operator takes back after the copy is used at once`() {
+    fun `a zone that the operator returns to service after a restore is used immediately`() {
         evacuated.set(zone, isOut = true)
-        evacuated.replaceAll(emptySet(), ListStanding.NEW_ERA)
+        evacuated.replaceAll(emptySet(), ListReliability.NEW_ERA)
         evacuated.set(zone, isOut = true)
         nowMillis = 60_000
         assertEquals(setOf(zone), evacuated.zones)
@@ -43,9 +43,9 @@
     }
 
     @Test
-    fun `a certain list brings zones back at once`() {
+    fun `a reliable list returns zones to service immediately`() {
         evacuated.set(zone, isOut = true)
-        evacuated.replaceAll(emptySet(), ListStanding.CERTAIN)
+        evacuated.replaceAll(emptySet(), ListReliability.CERTAIN)
         assertEquals(emptySet<ZoneName>(), evacuated.zones)
     }
 }
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/EventSplitterTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/EventSplitterTest.kt
@@ -8,25 +8,25 @@
     private val stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n"
 
     @Test
-    fun `events are whole however the bytes arrive`() {
+    fun `events are complete for every chunk size`() {
         for (size in 1..stream.length) {
             val splitter = EventSplitter()
             val events = stream.chunked(size).flatMap { splitter.append(it.toByteArray()) }
-            assertEquals(listOf(1L, 2L, null), events.map { it.id }, "in parts of $size bytes")
+            assertEquals(listOf(1L, 2L, null), events.map { it.id }, "in chunks of $size bytes")
             assertEquals(stream, events.joinToString("") { String(it.bytes) })
             assertEquals(0, splitter.pendingBytes)
         }
     }
 
     @Test
-    fun `an event that stops in the middle is not handed out`() {
+    fun `an incomplete event is not returned`() {
         val splitter = EventSplitter()
         assertEquals(1, splitter.append("id: 1\ndata: a\n\nid: 2\nda".toByteArray()).size)
         assertEquals("id: 2\nda".length, splitter.pendingBytes)
     }
 
     @Test
-    fun `an id that is no number is no id`() {
+    fun `a non-numeric id is ignored`() {
         assertNull(EventSplitter().append("id: x\n\n".toByteArray()).single().id)
     }
 }
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/FreshnessTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/FreshnessTest.kt
@@ -16,41 +16,41 @@
     }
 
     @Test
-    fun `nothing is fresh before the first proof`() = assertFalse(freshness.isFresh())
+    fun `the configuration is not fresh before the first confirmation`() = assertFalse(freshness.isFresh())
 
     @Test
-    fun `a proof dates from before the call, not from its response`() {
+    fun `a confirmation is dated by the start of the call, not by its response`() {
         val asOf = freshness.now()
         pass(1_000)
-        freshness.proven(asOf)
+        freshness.confirm(asOf)
         assertEquals(1_000, freshness.ageMillis())
         pass(2_901)
         assertFalse(freshness.isFresh())
     }
 
     @Test
-    fun `a suspended machine, whose monotonic clock stood still, has no fresh configuration`() {
-        freshness.proven(freshness.now())
+    fun `the configuration is not fresh after a suspend that stopped the monotonic clock`() {
+        freshness.confirm(freshness.now())
         wallMillis += 5_000
         assertFalse(freshness.isFresh())
-        assertTrue(freshness.isWithdrawn())
-        freshness.proven(freshness.now())
+        assertTrue(freshness.isInvalidated())
+        freshness.confirm(freshness.now())
         assertTrue(freshness.isFresh())
     }
 
     @Test
-    fun `a time of day that is set back does not make old knowledge fresh`() {
-        freshness.proven(freshness.now())
+    fun `setting the wall clock back does not make an old configuration fresh`() {
+        freshness.confirm(freshness.now())
         pass(2_000)
         wallMillis -= 4_000
         assertFalse(freshness.isFresh())
     }
 
     @Test
-    fun `a response that was on its way while the machine was suspended proves nothing`() {
+    fun `a response in flight during a suspend confirms nothing`() {
         val asOf = freshness.now()
         wallMillis += 6_000
-        freshness.proven(asOf)
+        freshness.confirm(asOf)
         assertFalse(freshness.isFresh())
     }
 }
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/HubSelectionTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/HubSelectionTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A fleet of three zones with twenty-five instances each, whose replicas change several times a second. */
+/** Selects hubs in a fleet of three zones with 25 instances each. */
 class HubSelectionTest {
     private var nowMillis = 0L
     private val peers =
@@ -26,7 +26,7 @@
             ) { peers.filter { it != own && it !in gone } }
         }
 
-    /** Lets all live instances choose and ask once; returns the watchers of the store by zone. */
+    /** Lets all live instances select and contact a hub once; returns the instances that watch the store, by zone. */
     private fun round(): Map<ZoneName, List<Peer>> {
         nowMillis += 1_000
         val alive = selections.filterKeys { it !in gone }
@@ -35,8 +35,8 @@
             val hub = selection.current()
             when {
                 hub == null -> direct += own
-                hub in gone || hub in refusing || selections.getValue(hub).current() != null -> selection.failed(hub)
-                else -> selections.getValue(hub).asked()
+                hub in gone || hub in refusing || selections.getValue(hub).current() != null -> selection.abandon(hub)
+                else -> selections.getValue(hub).recordWatcher()
             }
         }
         return direct.groupBy { it.zone }
@@ -50,7 +50,7 @@
     }
 
     @Test
-    fun `after the loss of a hub, one of the others takes its place`() {
+    fun `another instance replaces a lost hub`() {
         val first = round().getValue(ZoneName("a")).single()
         gone += first
         repeat(12) { round() }
@@ -60,7 +60,7 @@
     }
 
     @Test
-    fun `a hub that reports but does not serve is replaced`() {
+    fun `a hub that is alive but refuses watches is replaced`() {
         val first = round().getValue(ZoneName("a")).single()
         refusing += first
         repeat(10) { round() }
@@ -69,7 +69,7 @@
     }
 
     @Test
-    fun `a hub that returns does not take its zone away from the one that serves`() {
+    fun `a hub that returns does not displace its successor`() {
         val first = round().getValue(ZoneName("a")).single()
         gone += first
         repeat(12) { round() }
@@ -81,7 +81,7 @@
     }
 
     @Test
-    fun `in a zone of two one instance watches the store, and the last one does by itself`() {
+    fun `one of two instances in a zone watches the store, and a remaining single instance does as well`() {
         val zone = peers.filter { it.zone == ZoneName("a") }
         gone += zone.drop(2)
         assertEquals(listOf(zone.first()), round().getValue(ZoneName("a")))
@@ -91,10 +91,10 @@
     }
 
     @Test
-    fun `an instance that others rely on watches the store`() {
+    fun `an instance that others watch watches the store itself`() {
         val last = selections.getValue(peers.last())
         assertTrue(last.current() != null)
-        last.asked()
+        last.recordWatcher()
         assertNull(last.current())
     }
 }
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/LargeFleetTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/LargeFleetTest.kt
@@ -11,8 +11,8 @@
 import java.util.PriorityQueue
 
 /**
- * Instances of several zones that all start at once and exchange their work over a network that loses datagrams, in
- * virtual time. Each starts and ends a generation every few seconds.
+ * A simulation in virtual time of instances in several zones that start simultaneously and exchange their load over a
+ * network that loses datagrams. Each instance starts or ends a generation every few seconds.
  */
 private class Fleet(
     val size: Int,
@@ -44,8 +44,8 @@
     private var packetNumber = 0L
     var nowMillis = 0L
 
-    /** Tells whether a datagram between two zones is lost. */
-    var isCut: (ZoneName, ZoneName) -> Boolean = { _, _ -> false }
+    /** Whether datagrams from the first zone to the second are lost. */
+    var isPartitioned: (ZoneName, ZoneName) -> Boolean = { _, _ -> false }
 
     val members =
         List(size) { index ->
@@ -70,20 +70,20 @@
             Replica(entry) { nowMillis }
         }
 
-    val living: List<Member> get() = members.filter { it.isAlive }
+    val alive: List<Member> get() = members.filter { it.isAlive }
 
     init {
-        members.forEach { member -> member.exchange.listed(members.map { it.peer }) }
+        members.forEach { member -> member.exchange.addListedPeers(members.map { it.peer }) }
     }
 
     fun run(millis: Long) {
         val end = nowMillis + millis
         while (nowMillis < end) {
             nowMillis++
-            living.forEachIndexed { index, member ->
+            alive.forEachIndexed { index, member ->
                 if (nowMillis % TICK_MILLIS == index % TICK_MILLIS) tick(member)
             }
-            while (packets.isNotEmpty() && packets.peek().atMillis <= nowMillis) arrive(packets.poll())
+            while (packets.isNotEmpty() && packets.peek().atMillis <= nowMillis) deliver(packets.poll())
         }
     }
 
@@ -97,7 +97,7 @@
 
     private fun send(
         member: Member,
-        sending: PeerSending,
+        sending: OutgoingMessage,
     ) {
         val bytes = sending.message.encode().length
         for (destination in sending.destinations) {
@@ -109,17 +109,17 @@
         }
     }
 
-    private fun arrive(packet: Packet) {
+    private fun deliver(packet: Packet) {
         val receiver = byEndpoint.getValue(packet.to).takeIf { it.isAlive } ?: return
-        if (!packet.from.isAlive || isCut(packet.from.peer.zone, receiver.peer.zone)) return
+        if (!packet.from.isAlive || isPartitioned(packet.from.peer.zone, receiver.peer.zone)) return
         receiver.receivedBytes += packet.bytes
         receiver.exchange.receive(packet.message).forEach { send(receiver, it) }
     }
 
-    /** The tokens that the others really have in progress, less those that [member] knows of, as a share of all. */
+    /** Returns the error of the other instances' tokens as known to [member], relative to their actual total. */
     fun error(member: Member): Double {
         member.exchange.apply(directory)
-        val real = living.filter { it !== member }.map { it.work }.total()
+        val real = alive.filter { it !== member }.map { it.work }.total()
         val wrong =
             directory.sumOf { replica ->
                 val expected = real[replica.entry.id.value]?.tokens ?: 0
@@ -128,20 +128,20 @@
         return wrong.toDouble() / real.values.sumOf { it.tokens }.coerceAtLeast(TOKENS)
     }
 
-    fun meanError() = living.map { error(it) }.average()
+    fun meanError() = alive.map { error(it) }.average()
 
     private companion object {
         const val SEED = 7L
         const val TICK_MILLIS = 100L
         const val TOKENS = 4_000L
 
-        /** A change about every four seconds. */
+        /** Probability per tick; yields a change about every four seconds. */
         const val CHANGE_SHARE = 0.025
         const val LOSS_SHARE = 0.01
     }
 }
 
-/** Fleets of up to hundreds of instances that start at once, lose instances, and lose a zone. */
+/** Load exchange in fleets of up to 340 instances: simultaneous start, loss of instances, and a zone partition. */
 class LargeFleetTest {
     private fun settled(size: Int) = Fleet(size).apply { run(SETTLE_MILLIS) }
 
@@ -152,14 +152,14 @@
     }
 
     @Test
-    fun `the datagrams of an instance do not grow with the fleet`() {
+    fun `the datagram rate of an instance does not grow with the fleet`() {
         val small = datagramsPerSecond(settled(95))
         val large = datagramsPerSecond(settled(340))
         assertTrue(large <= small * 1.2) { "$small a second at 95 instances, $large at 340" }
     }
 
     @Test
-    fun `no instance receives more than its bound`() {
+    fun `no instance receives more bytes than its limit`() {
         val fleet = settled(340)
         val before = fleet.members.map { it.receivedBytes }
         fleet.run(WINDOW_MILLIS)
@@ -169,55 +169,55 @@
     }
 
     @Test
-    fun `all instances know nearly all work of the others`() {
+    fun `every instance knows nearly all load of the others`() {
         val fleet = settled(95)
         assertTrue(fleet.meanError() <= ERROR_SHARE) { "${fleet.meanError()}" }
-        assertEquals(setOf(95), fleet.living.map { it.exchange.instanceCount }.toSet())
-        assertEquals(setOf(95), fleet.living.map { it.exchange.liveCount() }.toSet())
+        assertEquals(setOf(95), fleet.alive.map { it.exchange.instanceCount }.toSet())
+        assertEquals(setOf(95), fleet.alive.map { it.exchange.liveCount() }.toSet())
     }
 
     @Test
-    fun `an instance does not count its own work among that of the others`() {
+    fun `an instance does not count its own load as load of the others`() {
         val fleet = settled(95)
-        val member = fleet.living.first { it.work.isNotEmpty() }
+        val member = fleet.alive.first { it.work.isNotEmpty() }
         val replica = member.work.keys.single()
-        fleet.living.filter { it !== member && replica in it.work }.forEach { it.isAlive = false }
+        fleet.alive.filter { it !== member && replica in it.work }.forEach { it.isAlive = false }
         fleet.run(SETTLE_MILLIS)
         if (member.work.keys.singleOrNull() == replica) assertTrue(fleet.error(member) <= ERROR_SHARE)
     }
 
     @Test
-    fun `the loss of every aggregator is made good within seconds`() {
+    fun `the fleet recovers from the loss of all aggregators within seconds`() {
         val fleet = settled(95)
-        fleet.living
+        fleet.alive
             .groupBy { it.peer.zone }
             .values
             .forEach { zone -> zone.minBy { it.peer.name }.isAlive = false }
         fleet.run(RECOVERY_MILLIS)
         assertTrue(fleet.meanError() <= ERROR_SHARE) { "${fleet.meanError()}" }
-        assertEquals(setOf(90), fleet.living.map { it.exchange.liveCount() }.toSet())
+        assertEquals(setOf(90), fleet.alive.map { it.exchange.liveCount() }.toSet())
     }
 
     @Test
-    fun `a zone that is cut off knows its own work, and is known again after the cut`() {
+    fun `a partitioned zone knows its own load and is included again after the partition`() {
         val fleet = settled(95)
         val zone = ZoneName("zone-2")
-        fleet.isCut = { from, to -> (from == zone) != (to == zone) }
+        fleet.isPartitioned = { from, to -> (from == zone) != (to == zone) }
         fleet.run(RECOVERY_MILLIS)
-        val inside = fleet.living.first { it.peer.zone == zone }
+        val inside = fleet.alive.first { it.peer.zone == zone }
         assertEquals(19, inside.exchange.liveCount())
         assertEquals(95, inside.exchange.instanceCount)
-        fleet.isCut = { _, _ -> false }
+        fleet.isPartitioned = { _, _ -> false }
         fleet.run(RECOVERY_MILLIS)
         assertTrue(fleet.meanError() <= ERROR_SHARE) { "${fleet.meanError()}" }
     }
 
     @Test
-    fun `after half of the fleet was lost, shares of common bounds do not grow`() {
+    fun `the shares of common limits do not grow after the loss of half the fleet`() {
         val fleet = settled(95)
         fleet.members.filterIndexed { index, _ -> index % 2 == 0 }.forEach { it.isAlive = false }
         fleet.run(RECOVERY_MILLIS)
-        fleet.living.forEach { assertTrue(it.exchange.instanceCount >= 95) }
+        fleet.alive.forEach { assertTrue(it.exchange.instanceCount >= 95) }
     }
 
     private companion object {
@@ -225,13 +225,13 @@
         const val WINDOW_MILLIS = 10_000L
         const val RECOVERY_MILLIS = 6_000L
 
-        /** The bound of totals and a tenth for all else. */
+        /** The limit on totals plus a tenth for other messages. */
         const val MEMBER_BYTES_PER_SECOND = 8_800L
 
-        /** A zone's reports, at most 200 bytes each and two a second, and the sums of four zones. */
+        /** The reports of a zone, at most 200 bytes each and two per second, plus the sums of four zones. */
         const val AGGREGATOR_BYTES_PER_SECOND = 68 * 400L + 4 * 10_000L
 
-        /** Figures of the last second may be missing, and each changes every four seconds. */
+        /** Values of the last second may be missing, and each changes about every four seconds. */
         const val ERROR_SHARE = 0.25
     }
 }
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/LoadExchangeTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/LoadExchangeTest.kt
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `the work of all other instances adds up`() {
+    fun `the load of all other instances is summed`() {
         loads.receive(report("b", 1, 300))
         loads.receive(report("c", 1, 40))
         assertEquals(340, remoteTokens())
@@ -57,21 +57,21 @@
     }
 
     @Test
-    fun `a report that was overtaken changes nothing`() {
+    fun `a reordered older report is ignored`() {
         loads.receive(report("b", 2, 300))
         loads.receive(report("b", 1, 900))
         assertEquals(300, remoteTokens())
     }
 
     @Test
-    fun `a restarted instance replaces what it reported before`() {
+    fun `a report after a restart replaces the earlier one`() {
         loads.receive(report("b", 70, 300, start = 1))
         loads.receive(report("b", 1, 5, start = 2))
         assertEquals(5, remoteTokens())
     }
 
     @Test
-    fun `an instance that starts again with its clock set back is heard`() {
+    fun `a report of an instance that restarted with its clock set back is accepted`() {
         loads.receive(report("b", 70, 300, start = 5_000))
         nowMillis = 4_000
         loads.receive(report("b", 1, 5, start = 3_000))
@@ -79,7 +79,7 @@
     }
 
     @Test
-    fun `an instance that fell silent or left counts no more`() {
+    fun `an instance that fell silent or left is no longer counted`() {
         loads.receive(report("b", 1, 300))
         loads.receive(report("c", 1, 40))
         loads.receive(report("c", 2, 0, isLeaving = true))
@@ -90,7 +90,7 @@
     }
 
     @Test
-    fun `silent instances still count in shares of common bounds`() {
+    fun `silent instances still count in the shares of common limits`() {
         loads.receive(report("b", 1, 300))
         loads.receive(report("c", 1, 40))
         assertEquals(3, loads.instanceCount)
@@ -100,14 +100,14 @@
     }
 
     @Test
-    fun `before anything is known of the others, the largest fleet is assumed`() {
+    fun `the largest fleet is assumed before any other instance is known`() {
         assertEquals(340, loads.instanceCount)
-        loads.listed(emptyList())
+        loads.addListedPeers(emptyList())
         assertEquals(1, loads.instanceCount)
     }
 
     @Test
-    fun `messages survive the wire`() {
+    fun `messages are decoded as they were encoded`() {
         val work = mapOf("engine" to PeerWork(2, 300, 70))
         val messages =
             listOf(
@@ -119,22 +119,22 @@
     }
 
     @Test
-    fun `work with too few figures is unreadable`() {
+    fun `decoding load with too few values fails`() {
         val text = report("b", 1, 300).encode().replace("[1,300,0]", "[1,300]")
         assertThrows(SerializationException::class.java) { PeerMessage.decode(text) }
     }
 
     @Test
-    fun `a leaving that a replica announced is told at once, and known from what others tell`() {
-        loads.listed(listOf(Peer("b", ZoneName("east"), Endpoint("10.0.0.2", 1))))
+    fun `an announced leave is sent immediately, applied by the receiver, and expires`() {
+        loads.addListedPeers(listOf(Peer("b", ZoneName("east"), Endpoint("10.0.0.2", 1))))
         loads.tick(emptyMap())
-        assertEquals(emptyList<PeerSending>(), loads.tick(emptyMap()))
+        assertEquals(emptyList<OutgoingMessage>(), loads.tick(emptyMap()))
         val sending = loads.tick(emptyMap(), leaving = mapOf("engine" to 1L)).single()
         val told = PeerMessage.decode(sending.message.encode())
         val other = LoadExchange(Peer("b", ZoneName("east"), Endpoint("10.0.0.2", 1)), start = 1) { nowMillis }
         other.receive(told)
-        assertEquals(mapOf("engine" to 1L), other.leavingElsewhere)
+        assertEquals(mapOf("engine" to 1L), other.leavingReportedByPeers)
         nowMillis = 4_000
-        assertEquals(emptyMap<String, Long>(), other.leavingElsewhere)
+        assertEquals(emptyMap<String, Long>(), other.leavingReportedByPeers)
     }
 }
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/ReplicaDirectoryTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/ReplicaDirectoryTest.kt
@@ -33,8 +33,8 @@
     private fun usable() = directory.usable(service).map { it.entry.id.value }
 
     @Test
-    fun `a draining or removed replica receives no new work at once`() {
-        directory.replaceAll(listOf(entry("a"), entry("b"), entry("c")), ListStanding.CERTAIN)
+    fun `a draining or removed replica immediately stops receiving new work`() {
+        directory.replaceAll(listOf(entry("a"), entry("b"), entry("c")), ListReliability.CERTAIN)
         val removed = directory.usable(service).last()
         directory.put(entry("b", draining = true))
         directory.remove(InstanceId("c"), afterOutage = false)
@@ -43,17 +43,17 @@
     }
 
     @Test
-    fun `an entry that lapsed with the store stays for the grace period only`() {
-        directory.replaceAll(listOf(entry("a"), entry("b")), ListStanding.CERTAIN)
-        directory.replaceAll(listOf(entry("a")), ListStanding.AFTER_OUTAGE)
+    fun `an entry that expired during a store outage stays for the grace period only`() {
+        directory.replaceAll(listOf(entry("a"), entry("b")), ListReliability.CERTAIN)
+        directory.replaceAll(listOf(entry("a")), ListReliability.AFTER_OUTAGE)
         assertEquals(listOf("a", "b"), usable())
         nowMillis = 2_300
         assertEquals(listOf("a"), usable())
     }
 
     @Test
-    fun `an entry that came back within the grace period stays`() {
-        directory.replaceAll(listOf(entry("a")), ListStanding.CERTAIN)
+    fun `an entry that returns within the grace period stays`() {
+        directory.replaceAll(listOf(entry("a")), ListReliability.CERTAIN)
         directory.remove(InstanceId("a"), afterOutage = true)
         nowMillis = 1_500
         directory.put(entry("a"))
@@ -62,7 +62,7 @@
     }
 
     @Test
-    fun `a replica that starts again under its id is a new one`() {
+    fun `a replica that restarts with the same id is a new replica`() {
         directory.put(entry("a"))
         val before = directory.usable(service).single()
         directory.put(entry("a", startedAtMillis = 2))
@@ -71,16 +71,16 @@
     }
 
     @Test
-    fun `an evacuated zone receives nothing until it is taken back`() {
-        directory.replaceAll(listOf(entry("a"), entry("b")), ListStanding.CERTAIN)
-        directory.evacuations.replaceAll(setOf(ZoneName("zone-a")), ListStanding.CERTAIN)
+    fun `an evacuated zone receives no work until it is returned to service`() {
+        directory.replaceAll(listOf(entry("a"), entry("b")), ListReliability.CERTAIN)
+        directory.evacuations.replaceAll(setOf(ZoneName("zone-a")), ListReliability.CERTAIN)
         assertEquals(listOf("b"), usable())
-        directory.evacuations.replaceAll(emptySet(), ListStanding.CERTAIN)
+        directory.evacuations.replaceAll(emptySet(), ListReliability.CERTAIN)
         assertEquals(listOf("a", "b"), usable())
     }
 
     @Test
-    fun `a replica that announced its leaving stays away though the list names it as ready, until its next start`() {
+    fun `a replica that announced a leave stays unused until it restarts, even if listed as ready`() {
         directory.put(entry("a"))
         val replica = directory.usable(service).single()
         replica.leave(LeaveReason.ANNOUNCED)
@@ -94,20 +94,24 @@
     }
 
     @Test
-    fun `a leaving that another instance was told of concerns the start that announced it only`() {
+    fun `a leave reported by a peer applies only to the incarnation that announced it`() {
         directory.put(entry("a", startedAtMillis = 2))
-        directory.leaveAsTold(mapOf("a" to 1L, "unknown" to 1L))
+        directory.markReportedLeaving(mapOf("a" to 1L, "unknown" to 1L))
         assertEquals(listOf("a"), usable())
-        directory.leaveAsTold(mapOf("a" to 2L))
+        directory.markReportedLeaving(mapOf("a" to 2L))
         assertEquals(emptyList<String>(), usable())
-        assertEquals(emptyMap<String, Long>(), directory.announcedLeavings(), "only own knowledge is told on")
+        assertEquals(
+            emptyMap<String, Long>(),
+            directory.announcedLeaving(),
+            "leaves reported by peers must not be forwarded",
+        )
     }
 
     @Test
-    fun `a replica that was gone before the store came back from a copy is used only if it stays listed`() {
-        directory.replaceAll(listOf(entry("a"), entry("b")), ListStanding.CERTAIN)
+    fun `a replica removed before a restore of the store is used only if it stays listed`() {
+        directory.replaceAll(listOf(entry("a"), entry("b")), ListReliability.CERTAIN)
         directory.remove(InstanceId("b"), afterOutage = false)
-        directory.replaceAll(listOf(entry("a"), entry("b")), ListStanding.NEW_ERA)
+        directory.replaceAll(listOf(entry("a"), entry("b")), ListReliability.NEW_ERA)
         assertEquals(listOf("a"), usable())
         nowMillis = 4_999
         assertEquals(listOf("a"), usable())
@@ -116,10 +120,10 @@
     }
 
     @Test
-    fun `an entry of the copy that the store drops again brings nobody back`() {
-        directory.replaceAll(listOf(entry("a"), entry("b")), ListStanding.CERTAIN)
+    fun `a stale entry of the snapshot that expires again brings no replica back`() {
+        directory.replaceAll(listOf(entry("a"), entry("b")), ListReliability.CERTAIN)
         directory.remove(InstanceId("b"), afterOutage = false)
-        directory.replaceAll(listOf(entry("a"), entry("b")), ListStanding.NEW_ERA)
+        directory.replaceAll(listOf(entry("a"), entry("b")), ListReliability.NEW_ERA)
         nowMillis = 3_600
         directory.remove(InstanceId("b"), afterOutage = false)
         nowMillis = 6_000
@@ -127,26 +131,26 @@
     }
 
     @Test
-    fun `a replica that drained stays away after the copy lists it as ready`() {
+    fun `a drained replica stays unused after a snapshot lists it as ready`() {
         directory.put(entry("a", draining = true))
         directory.remove(InstanceId("a"), afterOutage = false)
-        directory.replaceAll(listOf(entry("a")), ListStanding.NEW_ERA)
+        directory.replaceAll(listOf(entry("a")), ListReliability.NEW_ERA)
         nowMillis = 60_000
         assertEquals(emptyList<String>(), usable())
     }
 
     @Test
-    fun `an earlier start in the copy does not replace the one that runs`() {
+    fun `an earlier incarnation in the snapshot does not replace the running one`() {
         directory.put(entry("a", startedAtMillis = 7))
-        directory.replaceAll(listOf(entry("a", startedAtMillis = 3)), ListStanding.NEW_ERA)
+        directory.replaceAll(listOf(entry("a", startedAtMillis = 3)), ListReliability.NEW_ERA)
         val replica = directory.usable(service).single()
         assertEquals(7L, replica.entry.startedAtMillis)
     }
 
     @Test
-    fun `a replica that the copy lacks is kept until its entry is back, or its grace is over`() {
-        directory.replaceAll(listOf(entry("a"), entry("b")), ListStanding.CERTAIN)
-        directory.replaceAll(emptyList(), ListStanding.NEW_ERA)
+    fun `a replica missing from the snapshot is kept until its entry returns or the grace period ends`() {
+        directory.replaceAll(listOf(entry("a"), entry("b")), ListReliability.CERTAIN)
+        directory.replaceAll(emptyList(), ListReliability.NEW_ERA)
         assertEquals(listOf("a", "b"), usable())
         nowMillis = 1_000
         directory.put(entry("a"))
@@ -154,7 +158,7 @@
         assertEquals(listOf("a"), usable())
     }
 
-    /** Lists, removals and leavings in random order; returns how often a start was usable after it had announced. */
+    /** Applies lists, removals and leaves in random order; returns how often a leaving incarnation was usable. */
     private fun usesAfterLeaving(
         seed: Long,
         directory: ReplicaDirectory,
@@ -170,8 +174,8 @@
             now(millis)
             val entries = listOf("a", "b", "c").map { entry(it, startedAtMillis = 1L + random.nextInt(3)) }
             when (random.nextInt(5)) {
-                0 -> directory.replaceAll(entries, ListStanding.NEW_ERA)
-                1 -> directory.replaceAll(entries.take(2), ListStanding.AFTER_OUTAGE)
+                0 -> directory.replaceAll(entries, ListReliability.NEW_ERA)
+                1 -> directory.replaceAll(entries.take(2), ListReliability.AFTER_OUTAGE)
                 2 -> directory.put(entries.first())
                 3 -> directory.remove(entries.last().id, afterOutage = false)
                 else ->
@@ -186,7 +190,7 @@
     }
 
     @Test
-    fun `no order of lists and leavings makes a start usable that announced its leaving`() {
+    fun `no order of lists and leaves makes a leaving incarnation usable`() {
         for (seed in 1L..SEEDS) {
             var millis = 0L
             val uses = usesAfterLeaving(seed, ReplicaDirectory({ millis }), { millis = it }) { it.usable(service) }
@@ -195,7 +199,7 @@
     }
 
     @Test
-    fun `the random orders find a directory that follows the list alone`() {
+    fun `the random orders detect a directory that ignores leaves`() {
         val found =
             (1L..SEEDS).count { seed ->
                 var millis = 0L
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/ReplicaPlacementTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/ReplicaPlacementTest.kt
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Loads are those of plain calls on replicas with six slots, and of long prompts on engines. */
+/** Placement of plain calls on replicas with six slots, and of generations with long prompts on engines. */
 class ReplicaPlacementTest {
     private var nowMillis = 0L
     private val random = RandomSource.XO_RO_SHI_RO_128_PP.create(7L)
     private val placement = ReplicaPlacement(ReplicaSelection(ZoneName("a"), random), random) { _, _ -> true }
-    private val engine = EngineProfile(24, 34_000, 163_840, 4, movesRuns = true, backsUpRuns = true)
-    private val letter = GenerationDemand(promptTokens = 3_000, outputTokens = 940)
+    private val engine = EngineProfile(24, 34_000, 163_840, 4, supportsMigration = true, supportsBackup = true)
+    private val longPrompt = GenerationDemand(promptTokens = 3_000, outputTokens = 940)
     private val service = RelayService(ServiceName("desk"), "/healthz", 100, 0.0, 0.0, engine)
 
     private fun replica(id: String) =
@@ -28,98 +28,98 @@
     ) = placement.forCall(usable, tried, mayReturn = true, service)
 
     @Test
-    fun `calls avoid a replica that asked for quiet until its time is over`() {
+    fun `calls avoid a paused replica until its pause ends`() {
         val replicas = listOf(replica("one"), replica("two"))
-        replicas.first().quietFor(1_500)
-        repeat(8) { assertEquals(replicas.last(), (call(replicas) as Placement.At).replica) }
+        replicas.first().pauseFor(1_500)
+        repeat(8) { assertEquals(replicas.last(), (call(replicas) as Placement.Assigned).replica) }
         nowMillis = 1_500
         replicas.last().load.begin(0)
-        assertEquals(replicas.first(), (call(replicas) as Placement.At).replica)
+        assertEquals(replicas.first(), (call(replicas) as Placement.Assigned).replica)
     }
 
     @Test
-    fun `a burst onto replicas that all ask for quiet is refused until the first of them may be asked`() {
-        val replicas = listOf(replica("one").also { it.quietFor(4_000) }, replica("two").also { it.quietFor(1_000) })
-        val waits = List(100) { (call(replicas) as Placement.Later).afterMillis }
+    fun `a burst is deferred until the first pause ends if all replicas are paused`() {
+        val replicas = listOf(replica("one").also { it.pauseFor(4_000) }, replica("two").also { it.pauseFor(1_000) })
+        val waits = List(100) { (call(replicas) as Placement.Deferred).retryAfterMillis }
         assertTrue(waits.all { it in 1_000..1_500 }, waits.toString())
-        assertTrue(waits.toSet().size > 50, "callers come back spread over time")
+        assertTrue(waits.toSet().size > 50, "retries must be spread over time")
     }
 
     @Test
-    fun `what a quiet replica does not get is refused where the others are full`() {
-        val quiet = replica("quiet").also { it.quietFor(2_000) }
+    fun `calls are deferred if one replica is paused and the others are full`() {
+        val paused = replica("paused").also { it.pauseFor(2_000) }
         val full = replica("full")
         repeat(2 * SLOTS) { full.load.begin(0) }
-        assertTrue(call(listOf(quiet, full)) is Placement.Later)
+        assertTrue(call(listOf(paused, full)) is Placement.Deferred)
         full.load.end(0)
-        assertEquals(full, (call(listOf(quiet, full)) as Placement.At).replica)
+        assertEquals(full, (call(listOf(paused, full)) as Placement.Assigned).replica)
     }
 
     @Test
-    fun `long prompts do not follow a quiet engine's onto one without memory`() {
-        val quiet = replica("quiet").also { it.quietFor(2_000) }
+    fun `long prompts do not move from a paused engine to one without memory`() {
+        val paused = replica("paused").also { it.pauseFor(2_000) }
         val full = replica("full").also { it.load.begin(32_000) }
-        val engines = listOf(quiet, full)
-        assertTrue(placement.forGeneration(engines, emptySet(), letter, engine, service) is Placement.Later)
+        val engines = listOf(paused, full)
+        assertTrue(placement.forGeneration(engines, emptySet(), longPrompt, engine, service) is Placement.Deferred)
         full.load.end(32_000)
-        val placed = placement.forGeneration(engines, emptySet(), letter, engine, service)
-        assertEquals(full, (placed as Placement.At).replica)
+        val placed = placement.forGeneration(engines, emptySet(), longPrompt, engine, service)
+        assertEquals(full, (placed as Placement.Assigned).replica)
     }
 
     @Test
-    fun `without a quiet replica a full one still takes what it can queue`() {
+    fun `a full replica still queues generations if no replica is paused`() {
         val full = replica("full").also { it.load.begin(32_000) }
-        val placed = placement.forGeneration(listOf(full), emptySet(), letter, engine, service)
-        assertEquals(full, (placed as Placement.At).replica)
+        val placed = placement.forGeneration(listOf(full), emptySet(), longPrompt, engine, service)
+        assertEquals(full, (placed as Placement.Assigned).replica)
     }
 
     @Test
-    fun `an earlier request for longer quiet holds`() {
+    fun `a shorter pause does not end a longer one that was requested earlier`() {
         val replica = replica("one")
-        replica.quietFor(5_000)
-        replica.quietFor(500)
+        replica.pauseFor(5_000)
+        replica.pauseFor(500)
         nowMillis = 4_999
-        assertTrue(replica.isQuiet)
+        assertTrue(replica.isPaused)
     }
 
-    /** Calls and refusals in random order; returns the most requests that reached a replica in its quiet time. */
-    private fun mostInQuietTime(
+    /** Applies calls and pauses in random order; returns the maximum number of requests to one paused replica. */
+    private fun mostWhilePaused(
         seed: Long,
         choose: (List<Replica>) -> Replica?,
     ): Int {
         val random = RandomSource.SPLIT_MIX_64.create(seed)
         nowMillis = 0
         val replicas = listOf(replica("one"), replica("two"), replica("three"))
-        val quietFrom = HashMap<Replica, Long>()
-        val quietUntil = HashMap<Replica, Long>()
+        val pausedFrom = HashMap<Replica, Long>()
+        val pausedUntil = HashMap<Replica, Long>()
         val received = HashMap<Replica, Int>()
         repeat(STEPS) {
             nowMillis += random.nextInt(60)
             val chosen = choose(replicas) ?: return@repeat
-            if (nowMillis in quietFrom.getOrDefault(chosen, 0L) + 500..<quietUntil.getOrDefault(chosen, 0L)) {
+            if (nowMillis in pausedFrom.getOrDefault(chosen, 0L) + 500..<pausedUntil.getOrDefault(chosen, 0L)) {
                 received.merge(chosen, 1, Int::plus)
             }
             if (random.nextInt(5) == 0) {
                 val millis = 500L + random.nextInt(3_000)
-                chosen.quietFor(millis)
-                quietFrom[chosen] = nowMillis
-                quietUntil[chosen] = nowMillis + millis
+                chosen.pauseFor(millis)
+                pausedFrom[chosen] = nowMillis
+                pausedUntil[chosen] = nowMillis + millis
             }
         }
         return received.values.maxOrNull() ?: 0
     }
 
     @Test
-    fun `no order of calls and refusals sends a request into a quiet time`() {
+    fun `no order of calls and pauses sends a request to a paused replica`() {
         for (seed in 1L..SEEDS) {
-            assertEquals(0, mostInQuietTime(seed) { (call(it) as? Placement.At)?.replica })
+            assertEquals(0, mostWhilePaused(seed) { (call(it) as? Placement.Assigned)?.replica })
         }
     }
 
     @Test
-    fun `the random orders find a choice that ignores quiet times`() {
+    fun `the random orders detect a selection that ignores pauses`() {
         val selection = ReplicaSelection(ZoneName("a"), random)
-        val found = (1L..SEEDS).count { seed -> mostInQuietTime(seed) { selection.forCall(it) } > 2 }
+        val found = (1L..SEEDS).count { seed -> mostWhilePaused(seed) { selection.forCall(it) } > 2 }
         assertTrue(found > SEEDS / 2, "$found of $SEEDS orders")
     }
 
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/ShutdownAdmissionTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/ShutdownAdmissionTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Long drafts, short tags and calls that arrive while an instance has 3.5 s left. */
+/** Admission of long and short generations and of calls 3.5 s before an instance exits. */
 class ShutdownAdmissionTest {
     private fun route(
         kind: RequestKind,
@@ -26,26 +26,26 @@
         eventGapMillis = 180,
     )
 
-    private fun mayEnd(
+    private fun canFinish(
         kind: RequestKind,
         timeoutMillis: Long,
         outputTokens: Int? = null,
     ): Boolean {
         val demand = outputTokens?.let { GenerationDemand(3_000, it) }
-        return ShutdownAdmission.mayEnd(route(kind, timeoutMillis), demand, REMAINING_MILLIS)
+        return ShutdownAdmission.canFinish(route(kind, timeoutMillis), demand, REMAINING_MILLIS)
     }
 
     @Test
-    fun `a long generation is left to another instance, also if its route allows less time`() {
-        assertFalse(mayEnd(RequestKind.STREAM, 39_000, outputTokens = 940))
-        assertFalse(mayEnd(RequestKind.STREAM, 6_000, outputTokens = 940))
+    fun `a long generation is refused, even if the timeout of its route is short`() {
+        assertFalse(canFinish(RequestKind.STREAM, 39_000, outputTokens = 940))
+        assertFalse(canFinish(RequestKind.STREAM, 6_000, outputTokens = 940))
     }
 
     @Test
-    fun `short generations and calls are served`() {
-        assertTrue(mayEnd(RequestKind.STREAM, 6_000, outputTokens = 12))
-        assertTrue(mayEnd(RequestKind.NON_IDEMPOTENT, 2_500))
-        assertTrue(mayEnd(RequestKind.IDEMPOTENT, 10_000))
+    fun `short generations and calls are admitted`() {
+        assertTrue(canFinish(RequestKind.STREAM, 6_000, outputTokens = 12))
+        assertTrue(canFinish(RequestKind.NON_IDEMPOTENT, 2_500))
+        assertTrue(canFinish(RequestKind.IDEMPOTENT, 10_000))
     }
 
     private companion object {
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/SignalQueueTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/SignalQueueTest.kt
@@ -9,7 +9,7 @@
 
 class SignalQueueTest {
     @Test
-    fun `a signal that arrives at the very end of the wait is not lost`() =
+    fun `a signal that arrives as the timeout expires is not lost`() =
         runTest {
             val queue = SignalQueue<Int>()
             launch {
@@ -24,7 +24,7 @@
         }
 
     @Test
-    fun `nothing arrives within the wait`() =
+    fun `an empty queue returns null after the timeout`() =
         runTest {
             assertNull(SignalQueue<Int>().receiveWithin(WAIT_MILLIS))
         }
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/StoreErasTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/StoreErasTest.kt
@@ -9,7 +9,7 @@
     private val eras = StoreEras(Clock { nowMillis })
 
     @Test
-    fun `a higher era is new, also when some were skipped`() {
+    fun `a higher era is new even if some were skipped`() {
         assertEquals(EraOrder.CURRENT, eras.observe(4))
         assertEquals(EraOrder.CURRENT, eras.observe(4))
         assertEquals(EraOrder.NEW, eras.observe(5))
@@ -18,7 +18,7 @@
     }
 
     @Test
-    fun `a late answer of an older era does not bring that era back`() {
+    fun `a late response of an older era does not restore that era`() {
         eras.observe(4)
         eras.observe(5)
         assertEquals(EraOrder.OLDER, eras.observe(4))
@@ -26,7 +26,7 @@
     }
 
     @Test
-    fun `an answer that names no era belongs to the current one`() {
+    fun `a response without an era belongs to the current era`() {
         assertEquals(EraOrder.CURRENT, eras.observe(null))
         eras.observe(4)
         assertEquals(EraOrder.CURRENT, eras.observe(null))
@@ -34,7 +34,7 @@
     }
 
     @Test
-    fun `a store that was set back is believed once its old era has been silent for long`() {
+    fun `a lower era becomes current after a long silence of the previous one`() {
         eras.observe(4)
         nowMillis = 30_000
         assertEquals(EraOrder.OLDER, eras.observe(2))
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/TokenBucketTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/TokenBucketTest.kt
@@ -9,7 +9,7 @@
     private var nowMillis = 0L
     private val bounds = ServiceBounds(3_000, 2_000, 8.0, 5_000, 0.2, 54, 10_000, coldExcess = 1.5, coldMargin = 5.0)
 
-    /** Lets [instances] send as fast as they may, and checks every second of the time. */
+    /** Lets [instances] send at their full rate and checks the limit in one-second windows. */
     private fun assertWithinBound(instances: Int) {
         val share = ColdShare.of(COLD_PER_SECOND, bounds, instances)
         val random = RandomSource.XO_RO_SHI_RO_128_PP.create(11L)
@@ -27,13 +27,13 @@
     }
 
     @Test
-    fun `seven instances together stay within what a cold replica bears in any second`() = assertWithinBound(7)
+    fun `7 instances together stay within the limit of a cold replica in any second`() = assertWithinBound(7)
 
     @Test
-    fun `seventy-four instances together stay within what a cold replica bears in any second`() = assertWithinBound(74)
+    fun `74 instances together stay within the limit of a cold replica in any second`() = assertWithinBound(74)
 
     @Test
-    fun `an empty bucket refills with the rate`() {
+    fun `an empty bucket refills at the given rate`() {
         val bucket = TokenBucket({ nowMillis })
         assertTrue(bucket.tryTake(2.0, 1.0))
         nowMillis = 499
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/RelayDaemon.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/RelayDaemon.kt
@@ -263,7 +263,7 @@
     }
 
     private fun isInTouch() =
-        freshness.isWithdrawn() || freshness.ageMillis() <= settings.bounds.revokeMillis * READY_SHARE
+        freshness.isInvalidated() || freshness.ageMillis() <= settings.bounds.revokeMillis * READY_SHARE
 
     private fun configurationWaitMillis() =
         minOf(CONFIGURATION_WAIT_MILLIS, (settings.bounds.revokeMillis * CONFIGURATION_WAIT_SHARE).toLong())
@@ -278,8 +278,8 @@
         metrics.gauge("connections.opened") { pool.opened }
         metrics.gauge("configuration.version") { configuration.current?.version ?: 0 }
         metrics.gauge("configuration.age.milliseconds") { freshness.ageMillis() }
-        metrics.gauge("replicas.quiet") { directory.all().count { it.isQuiet } }
-        metrics.gauge("replicas.leaving.by.answer") { directory.announcedLeavings().size }
+        metrics.gauge("replicas.quiet") { directory.all().count { it.isPaused } }
+        metrics.gauge("replicas.leaving.by.answer") { directory.announcedLeaving().size }
         metrics.gauge("store.era") { eras.current ?: 0 }
         metrics.gauge("instances.live") { liveInstances }
         metrics.gauge("peer.datagrams.sent") { peers.datagramsSent }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/ChangeHub.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/ChangeHub.kt
@@ -2,9 +2,9 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus
 import io.sequoiawheel.core.relay.ChangeHistory
+import io.sequoiawheel.core.relay.ClockReading
 import io.sequoiawheel.core.relay.Freshness
 import io.sequoiawheel.core.relay.HubSelection
-import io.sequoiawheel.core.relay.Instant
 import io.sequoiawheel.platform.StoreChanges
 import io.sequoiawheel.platform.StoreEvent
 import io.sequoiawheel.platform.StoreKind
@@ -30,7 +30,7 @@
         private set
 
     /** When what is known was last proven to be the newest, or null. */
-    var proof: Instant? = null
+    var proof: ClockReading? = null
         private set
 
     val revision: Long get() = history.revision
@@ -38,7 +38,7 @@
     /** Starts with a listing as of [revision] in [era], the newest state at [asOf]. */
     fun listed(
         revision: Long,
-        asOf: Instant?,
+        asOf: ClockReading?,
         era: Long?,
     ) {
         this.era = era
@@ -51,7 +51,7 @@
     /** Starts, or goes on, after [revision], from which the store is watched now; it was the newest state at [asOf]. */
     fun resume(
         revision: Long,
-        asOf: Instant?,
+        asOf: ClockReading?,
         era: Long?,
     ) {
         if (!isServing) listed(revision, asOf, era)
@@ -60,7 +60,7 @@
     /** Adds the response to a watch that followed the last call. */
     fun changed(
         changes: StoreChanges,
-        asOf: Instant,
+        asOf: ClockReading,
     ) {
         resume(changes.revision, asOf, changes.era)
         history.append(changes.revision, changes.events)
@@ -104,7 +104,7 @@
         val query = StoreProtocol.parseWatch(uri) ?: return StatusAnswer(HttpResponseStatus.NOT_FOUND)
         val feed = feeds[query.kind] ?: return StatusAnswer(HttpResponseStatus.NOT_FOUND)
         if (!feed.isServing) return StatusAnswer(HttpResponseStatus.SERVICE_UNAVAILABLE)
-        selection.asked()
+        selection.recordWatcher()
         val received = freshness.now()
         withTimeoutOrNull(query.waitMillis) {
             while (feed.isServing && !isDue(feed, query, received)) feed.awaitAdvance()
@@ -125,7 +125,7 @@
     private fun isDue(
         feed: ChangeFeed,
         query: WatchQuery,
-        received: Instant,
+        received: ClockReading,
     ): Boolean {
         if (feed.era != query.era) return true
         val isProven = feed.proof?.let { it.monotonicMillis > received.monotonicMillis } ?: false
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/ChangeSources.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/ChangeSources.kt
@@ -28,7 +28,7 @@
     private val peersKnown = CompletableDeferred<Unit>()
 
     /** Whether other instances rely on this one. */
-    val isHub: Boolean get() = selection.isAsked
+    val isHub: Boolean get() = selection.hasWatchers
 
     /** Records that the store does not answer, or that it does again. */
     fun pathIsLost(isLost: Boolean) {
@@ -86,6 +86,6 @@
         hub: Peer,
         failure: StoreFailure,
     ) {
-        if (selection.failed(hub)) log.dependency("hub lost", mapOf("hub" to hub.name, "detail" to failure.detail))
+        if (selection.abandon(hub)) log.dependency("hub lost", mapOf("hub" to hub.name, "detail" to failure.detail))
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/ConfigurationController.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/ConfigurationController.kt
@@ -1,9 +1,9 @@
 package io.sequoiawheel.relay.control
 
+import io.sequoiawheel.core.relay.ClockReading
 import io.sequoiawheel.core.relay.ConfigurationOrder
 import io.sequoiawheel.core.relay.Freshness
-import io.sequoiawheel.core.relay.Instant
-import io.sequoiawheel.core.relay.ListStanding
+import io.sequoiawheel.core.relay.ListReliability
 import io.sequoiawheel.core.relay.RelayConfiguration
 import io.sequoiawheel.platform.ConfigurationCodec
 import io.sequoiawheel.platform.StoreEvent
@@ -37,10 +37,10 @@
 
     override fun listed(
         listing: StoreListing,
-        standing: ListStanding,
+        standing: ListReliability,
     ) {
         era = listing.era
-        order.enter(era)
+        order.enterEra(era)
         listing.objects.firstOrNull { it.name == StoreProtocol.CONFIGURATION_NAME }?.let(::apply)
     }
 
@@ -56,9 +56,9 @@
         }
     }
 
-    override fun proven(asOf: Instant) {
-        if (!isReadable || !order.isProof(asOf.monotonicMillis)) return
-        freshness.proven(asOf)
+    override fun proven(asOf: ClockReading) {
+        if (!isReadable || !order.confirmsCurrent(asOf.monotonicMillis)) return
+        freshness.confirm(asOf)
         if (freshness.isFresh()) proofAwaited.complete(Unit)
     }
 
@@ -74,7 +74,7 @@
     private suspend fun readNow() {
         val asOf = freshness.now()
         store.list(StoreKind.CONFIGURATION).map {
-            listed(it, ListStanding.CERTAIN)
+            listed(it, ListReliability.CERTAIN)
             proven(asOf)
         }
     }
@@ -93,7 +93,7 @@
             }
         isReadable = true
         val before = current
-        if (!order.shown(era, target.revision, decoded.version)) {
+        if (!order.observe(era, target.revision, decoded.version)) {
             if (before != null && decoded.version < before.version) {
                 log.belief(
                     "older configuration shown, newer one kept in force",
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/KindWatcher.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/KindWatcher.kt
@@ -3,9 +3,9 @@
 import arrow.core.Either
 import arrow.core.getOrElse
 import arrow.core.left
+import io.sequoiawheel.core.relay.ClockReading
 import io.sequoiawheel.core.relay.Freshness
-import io.sequoiawheel.core.relay.Instant
-import io.sequoiawheel.core.relay.ListStanding
+import io.sequoiawheel.core.relay.ListReliability
 import io.sequoiawheel.core.relay.Peer
 import io.sequoiawheel.core.routing.Backoff
 import io.sequoiawheel.platform.StoreChanges
@@ -25,7 +25,7 @@
     /** All objects of the kind. [standing] says whether entries may be missing or out of date. */
     fun listed(
         listing: StoreListing,
-        standing: ListStanding,
+        standing: ListReliability,
     )
 
     fun changed(
@@ -34,7 +34,7 @@
     )
 
     /** What was told so far was the newest state at [asOf] or later. */
-    fun proven(asOf: Instant) = Unit
+    fun proven(asOf: ClockReading) = Unit
 }
 
 /**
@@ -65,7 +65,7 @@
     private var failures = 0
     private var outageEndedMillis: Long? = null
     private var era: Long? = null
-    private var lastProof: Instant? = null
+    private var lastProof: ClockReading? = null
     private var waiting: Deferred<Either<StoreFailure, StoreChanges>>? = null
 
     /** Follows the kind until cancelled. */
@@ -97,9 +97,9 @@
 
     private fun standing(listedEra: Long?) =
         when {
-            isListed && listedEra != era -> ListStanding.NEW_ERA
-            isAfterOutage() -> ListStanding.AFTER_OUTAGE
-            else -> ListStanding.CERTAIN
+            isListed && listedEra != era -> ListReliability.NEW_ERA
+            isAfterOutage() -> ListReliability.AFTER_OUTAGE
+            else -> ListReliability.CERTAIN
         }
 
     /** Watches until the history is lost, or the store came back from an older copy. */
@@ -177,7 +177,7 @@
 
     private fun apply(
         changes: StoreChanges,
-        proof: Instant?,
+        proof: ClockReading?,
     ) {
         changes.events.forEach { listener.changed(it, isAfterOutage()) }
         lastProof = proof ?: lastProof
@@ -202,9 +202,9 @@
             }
         }
 
-    private fun Instant.plus(millis: Long): Instant {
+    private fun ClockReading.plus(millis: Long): ClockReading {
         val now = freshness.now()
-        return Instant(
+        return ClockReading(
             minOf(monotonicMillis + millis, now.monotonicMillis),
             minOf(wallMillis + millis, now.wallMillis),
         )
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/PeerController.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/PeerController.kt
@@ -9,9 +9,9 @@
 import io.netty.channel.socket.DatagramPacket
 import io.netty.channel.socket.nio.NioDatagramChannel
 import io.sequoiawheel.core.relay.LoadExchange
+import io.sequoiawheel.core.relay.OutgoingMessage
 import io.sequoiawheel.core.relay.Peer
 import io.sequoiawheel.core.relay.PeerMessage
-import io.sequoiawheel.core.relay.PeerSending
 import io.sequoiawheel.core.relay.ReplicaDirectory
 import io.sequoiawheel.core.routing.Backoff
 import io.sequoiawheel.platform.PeerEntryCodec
@@ -71,7 +71,7 @@
                 }, { true })
             val listing = if (written) store.list(StoreKind.ENTRY_INSTANCES).fold({ null }, { it }) else null
             if (listing != null) {
-                exchange.listed(listing.objects.mapNotNull { PeerEntryCodec.decode(it) })
+                exchange.addListedPeers(listing.objects.mapNotNull { PeerEntryCodec.decode(it) })
                 log.belief("instances listed", mapOf("count" to listing.objects.size))
                 return
             }
@@ -84,8 +84,8 @@
         while (true) {
             delay(TICK_MILLIS)
             exchange.apply(directory.all())
-            directory.leaveAsTold(exchange.leavingElsewhere)
-            send(exchange.tick(LoadExchange.work(directory.all()), directory.announcedLeavings()))
+            directory.markReportedLeaving(exchange.leavingReportedByPeers)
+            send(exchange.tick(LoadExchange.work(directory.all()), directory.announcedLeaving()))
         }
     }
 
@@ -95,7 +95,7 @@
         store.delete(StoreKind.ENTRY_INSTANCES, self.name)
     }
 
-    private fun send(sendings: List<PeerSending>) {
+    private fun send(sendings: List<OutgoingMessage>) {
         val target = channel ?: return
         for (sending in sendings) {
             if (sending.destinations.isEmpty()) continue
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/ReplicaController.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/ReplicaController.kt
@@ -2,7 +2,7 @@
 
 import io.sequoiawheel.core.model.InstanceId
 import io.sequoiawheel.core.model.ZoneName
-import io.sequoiawheel.core.relay.ListStanding
+import io.sequoiawheel.core.relay.ListReliability
 import io.sequoiawheel.core.relay.ReplicaDirectory
 import io.sequoiawheel.core.relay.ReplicaEntry
 import io.sequoiawheel.platform.ReplicaEntryCodec
@@ -18,7 +18,7 @@
 ) : KindListener {
     override fun listed(
         listing: StoreListing,
-        standing: ListStanding,
+        standing: ListReliability,
     ) {
         directory.replaceAll(listing.objects.mapNotNull(::decode), standing)
         log.belief(
@@ -65,7 +65,7 @@
 ) : KindListener {
     override fun listed(
         listing: StoreListing,
-        standing: ListStanding,
+        standing: ListReliability,
     ) = noting {
         val zones = listing.objects.filter { !it.isBeingDeleted }.mapTo(HashSet()) { ZoneName(it.name) }
         directory.evacuations.replaceAll(zones, standing)
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/filter/ConfigurationFilters.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/filter/ConfigurationFilters.kt
@@ -156,7 +156,7 @@
     ): Boolean {
         val route = checkNotNull(exchange.route)
         val demand = if (route.kind == RequestKind.STREAM) exchange.demand else null
-        return ShutdownAdmission.mayEnd(route, demand, remaining)
+        return ShutdownAdmission.canFinish(route, demand, remaining)
     }
 }
 
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/CallRelay.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/CallRelay.kt
@@ -79,13 +79,13 @@
         suspend fun run() {
             while (true) {
                 val placement = place()
-                if (placement !is Placement.At) {
-                    retryAfterMillis = (placement as? Placement.Later)?.afterMillis ?: RETRY_AFTER_MILLIS
+                if (placement !is Placement.Assigned) {
+                    retryAfterMillis = (placement as? Placement.Deferred)?.retryAfterMillis ?: RETRY_AFTER_MILLIS
                     giveUp(CallAttempt.NotRun(NotRunProof.NOTHING_SENT, "no replica of ${service.name} takes calls"))
                     return
                 }
                 val replica = placement.replica
-                if (tried.isEmpty()) context.allowance(service.name).request()
+                if (tried.isEmpty()) context.allowance(service.name).recordRequest()
                 tried += replica
                 val attempt = attempt(replica)
                 if (settle(attempt)) return
@@ -136,9 +136,9 @@
             route.isRepeatable &&
                 runs < route.maximumAttempts &&
                 isTimeLeft() &&
-                context.allowance(service.name).tryRepeat()
+                context.allowance(service.name).tryRetry()
 
-        private fun mayRepeatRefused(): Boolean = isTimeLeft() && context.allowance(service.name).tryRepeat()
+        private fun mayRepeatRefused(): Boolean = isTimeLeft() && context.allowance(service.name).tryRetry()
 
         private fun isTimeLeft() = exchange.deadlineMillis - context.clock.nowMillis() > MINIMUM_TIME_MILLIS
 
@@ -185,7 +185,7 @@
             if (isPatient) return send(replica)
             return withTimeoutOrNull(FIRST_ATTEMPT_MILLIS) { send(replica) }
                 ?: CallAttempt.Unknown("no response from $replica within $FIRST_ATTEMPT_MILLIS ms").also {
-                    replica.load.outcome(failed = true)
+                    replica.load.recordOutcome(failed = true)
                 }
         }
 
@@ -211,10 +211,10 @@
                     judge(replica, head, body, startedMillis)
                 }
             } catch (failure: ConnectFailedException) {
-                replica.unreachable()
+                replica.markUnreachable()
                 return CallAttempt.NotRun(NotRunProof.NOTHING_SENT, failure.message.orEmpty())
             } catch (failure: IOException) {
-                replica.load.outcome(failed = true)
+                replica.load.recordOutcome(failed = true)
                 return CallAttempt.Unknown("$replica: ${failure.message}")
             } finally {
                 replica.load.end(0)
@@ -229,13 +229,13 @@
         ): CallAttempt {
             val status = head.status().code()
             val isUnsigned = status < CLIENT_ERROR && !head.isSigned
-            replica.load.outcome(failed = status >= SERVER_ERROR || isUnsigned)
+            replica.load.recordOutcome(failed = status >= SERVER_ERROR || isUnsigned)
             if (head.promisesNotRun ||
                 isUnsigned
             ) {
                 return CallAttempt.Unknown("$replica answered $status without a proof")
             }
-            replica.load.responded(context.clock.nowMillis() - startedMillis)
+            replica.load.recordResponseTime(context.clock.nowMillis() - startedMillis)
             return CallAttempt.Answered(head, body)
         }
 
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationAttempt.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationAttempt.kt
@@ -132,7 +132,7 @@
                 try {
                     exchangeAll()
                 } catch (failure: ConnectFailedException) {
-                    replica.unreachable()
+                    replica.markUnreachable()
                     signals.trySend(
                         GenerationSignal.NotRun(
                             this@GenerationAttempt,
@@ -172,7 +172,7 @@
      * Waits until a replica that keeps a copy takes requests again, as long as the caller may wait for the next event.
      */
     private suspend fun awaitQuietEnd() {
-        if (!readsPrompt) delay(replica.quietMillis.takeIf { it <= COPY_WAIT_MILLIS } ?: 0)
+        if (!readsPrompt) delay(replica.remainingPauseMillis.takeIf { it <= COPY_WAIT_MILLIS } ?: 0)
     }
 
     private suspend fun exchangeAll() {
