--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationRun.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationRun.kt
@@ -71,7 +71,7 @@
             refuse(NotRunProof.NOTHING_SENT, ResultCode.NO_REPLICA, "no replica of ${service.name} takes generations")
             return
         }
-        context.allowance(service.name).request()
+        context.allowance(service.name).recordRequest()
         while (!isOver) {
             val signal = signals.receiveWithin(SILENCE_CHECK_MILLIS)
             if (signal == null) checkSilence() else handle(signal)
@@ -189,7 +189,7 @@
         if (signal.attempt !== current) return
         runs++
         signal.attempt.replica.load
-            .outcome(failed = true)
+            .recordOutcome(failed = true)
         if (route.isRepeatable && mayRunAgain() && placeAnew(setOf(signal.attempt.replica))) return
         if (exchange.response.isStarted) {
             end(ResultCode.STREAM_INTERRUPTED, "${signal.attempt.replica} answered ${signal.head.status()}")
@@ -206,7 +206,7 @@
 
     private suspend fun notRun(signal: GenerationSignal.NotRun) {
         if (signal.attempt !== current) return
-        if (signal.proof == NotRunProof.NOTHING_SENT && !signal.isWithheld) signal.attempt.replica.unreachable()
+        if (signal.proof == NotRunProof.NOTHING_SENT && !signal.isWithheld) signal.attempt.replica.markUnreachable()
         if (runs == 0 && delivery.delivered == 0) exchange.mayHaveRun = false
         lost += signal.attempt.replica
         if (mayRetryElsewhere(signal) && placeAnew(lost)) return
@@ -221,12 +221,12 @@
     private fun mayRetryElsewhere(signal: GenerationSignal.NotRun): Boolean =
         signal.isWithheld ||
             refusals++ < MAXIMUM_REFUSALS &&
-            (signal.proof == NotRunProof.NOTHING_SENT || context.allowance(service.name).tryRepeat())
+            (signal.proof == NotRunProof.NOTHING_SENT || context.allowance(service.name).tryRetry())
 
     private suspend fun broken(signal: GenerationSignal.Broken) {
         if (signal.attempt !== current) return
         val attempt = signal.attempt
-        attempt.replica.load.outcome(failed = true)
+        attempt.replica.load.recordOutcome(failed = true)
         lost += attempt.replica
         if (!attempt.hasBegun) runs++
         current = null
@@ -253,7 +253,7 @@
         end(if (exchange.response.isStarted) ResultCode.STREAM_INTERRUPTED else ResultCode.OUTCOME_UNKNOWN, detail)
     }
 
-    private fun mayRunAgain() = runs < route.maximumAttempts && context.allowance(service.name).tryRepeat()
+    private fun mayRunAgain() = runs < route.maximumAttempts && context.allowance(service.name).tryRetry()
 
     private fun replicaLeaves(signal: GenerationSignal.ReplicaLeaves) {
         exchange.notes["left"] = signal.reason.name
@@ -270,7 +270,7 @@
 
     /** Copies the run's memory off a leaving replica, so that the run can go on from there. */
     private fun copyAway(attempt: GenerationAttempt) {
-        if (!engine.movesRuns || exchange.requestId == null || copying?.isActive == true) return
+        if (!engine.supportsMigration || exchange.requestId == null || copying?.isActive == true) return
         copying =
             scope.launch {
                 val signal =
@@ -295,8 +295,8 @@
     private fun placeAnew(excluded: Set<Replica>): Boolean {
         val usable = context.directory.usable(service.name)
         val placement = context.placement.forGeneration(usable, excluded, demand, engine, service)
-        retryAfterMillis = (placement as? Placement.Later)?.afterMillis ?: RETRY_AFTER_MILLIS
-        val replica = (placement as? Placement.At)?.replica ?: return false
+        retryAfterMillis = (placement as? Placement.Deferred)?.retryAfterMillis ?: RETRY_AFTER_MILLIS
+        val replica = (placement as? Placement.Assigned)?.replica ?: return false
         val resumed = delivery.lastId?.takeIf { delivery.delivered > 0 }
         val headers = resumed?.let { mapOf(Headers.LAST_EVENT to it.toString()) }.orEmpty()
         current =
@@ -350,8 +350,8 @@
                 memoryTokens = Int.MAX_VALUE,
                 bytesPerToken = 0,
                 tokensPerEvent = 1,
-                movesRuns = false,
-                backsUpRuns = false,
+                supportsMigration = false,
+                supportsBackup = false,
             )
 
         /** Why a run moved; once it has, they would be taken for the reason of a later end. */
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/RelayContext.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/RelayContext.kt
@@ -9,9 +9,9 @@
 import io.sequoiawheel.core.relay.ReplicaDirectory
 import io.sequoiawheel.core.relay.ReplicaPlacement
 import io.sequoiawheel.core.relay.ReplicaSelection
-import io.sequoiawheel.core.relay.RetryAllowance
 import io.sequoiawheel.core.relay.Route
 import io.sequoiawheel.core.relay.ServiceBounds
+import io.sequoiawheel.core.relay.SlidingWindowRetryBudget
 import io.sequoiawheel.relay.backend.BackendPool
 import io.sequoiawheel.relay.internal.DecisionLog
 import io.sequoiawheel.relay.internal.RelayMetrics
@@ -29,15 +29,15 @@
     private val bounds: ServiceBounds,
     private val instanceCount: () -> Int,
 ) {
-    private val allowances = HashMap<ServiceName, RetryAllowance>()
+    private val allowances = HashMap<ServiceName, SlidingWindowRetryBudget>()
 
     /** Decides where requests go. */
     val placement = ReplicaPlacement(selection, random, ::mayStart)
 
     /** Returns the repeats that this instance may make to [service]. */
-    fun allowance(service: ServiceName): RetryAllowance =
+    fun allowance(service: ServiceName): SlidingWindowRetryBudget =
         allowances.getOrPut(service) {
-            RetryAllowance(clock, bounds.retryRatio, ::retryExtra, bounds.retryWindowMillis)
+            SlidingWindowRetryBudget(clock, bounds.retryRatio, ::retryExtra, bounds.retryWindowMillis)
         }
 
     private fun retryExtra(): Int =
@@ -61,13 +61,13 @@
     fun candidates(
         service: RelayService,
         excluded: Set<Replica>,
-    ): List<Replica> = directory.usable(service.name).filter { it !in excluded && !it.isQuiet }
+    ): List<Replica> = directory.usable(service.name).filter { it !in excluded && !it.isPaused }
 
     /** Returns when callers may come back while all replicas of [service] ask for quiet, or null if not all do. */
-    fun comeBackMillis(service: RelayService): Long? = placement.comeBackMillis(directory.usable(service.name))
+    fun comeBackMillis(service: RelayService): Long? = placement.retryAfterMillis(directory.usable(service.name))
 
     /** Whether a request may be sent to [replica] at this moment. */
-    fun mayReceive(replica: Replica): Boolean = directory.mayReceive(replica) && !replica.isQuiet
+    fun mayReceive(replica: Replica): Boolean = directory.mayReceive(replica) && !replica.isPaused
 
     private fun mayStart(
         replica: Replica,
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
@@ -20,7 +20,7 @@
     ) {
         val answering = head.headers().get(Headers.REPLICA)
         if (head.isMisdirected || answering != null && answering != replica.entry.id.value) return
-        replica.reached()
+        replica.markReachable()
         val notice = ReplicaNotice.decode(head.status().code()) { head.headers().getAll(it) }
         notice.coldForMillis?.let(replica::coldFor)
         if (notice.isLeaving) leave(replica, head)
@@ -53,7 +53,7 @@
         head: HttpResponse,
         millis: Long,
     ) {
-        if (millis > replica.quietMillis) {
+        if (millis > replica.remainingPauseMillis) {
             metrics.count("replica.notices", "quiet")
             log.belief(
                 "replica asked for quiet",
@@ -64,6 +64,6 @@
                 ),
             )
         }
-        replica.quietFor(millis)
+        replica.pauseFor(millis)
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/RunCopier.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/RunCopier.kt
@@ -50,7 +50,7 @@
         service: RelayService,
         demand: GenerationDemand,
     ): Replica? {
-        val engine = service.engine?.takeIf { it.backsUpRuns } ?: return null
+        val engine = service.engine?.takeIf { it.supportsBackup } ?: return null
         val candidates = context.candidates(service, excluded + source)
         return context.selection.forCopy(candidates, demand, engine, source.entry.zone, isUrgent = false)
     }
@@ -103,7 +103,7 @@
         source: Replica,
         destination: Replica,
     ): CopyResult {
-        if (source.isQuiet) return CopyResult.Refused("$source asked for quiet")
+        if (source.isPaused) return CopyResult.Refused("$source asked for quiet")
         val startedMillis = context.clock.nowMillis()
         val first = copy(requestId, source, destination)
         val firstMillis = context.clock.nowMillis() - startedMillis
