--- a/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimAnswer.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimAnswer.kt
@@ -19,7 +19,7 @@
     val bodyOmitted: Boolean = false,
 ) {
     /** Returns this answer without its body if the body is too large to record. */
-    internal fun bounded(): ClaimAnswer =
+    internal fun withBoundedBody(): ClaimAnswer =
         if (body != null &&
             body.toByteArray().size > MAXIMUM_BODY_BYTES
         ) {
--- a/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimDecision.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimDecision.kt
@@ -4,7 +4,7 @@
 
 /** What to do with a non-idempotent call. */
 sealed interface ClaimDecision {
-    /** The call is claimed: dispatch it, at most once, and end the ticket. */
+    /** The call is claimed: dispatch it at most once, then complete or release the ticket. */
     data class Granted(
         val ticket: ClaimTicket,
     ) : ClaimDecision
--- a/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimRecord.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimRecord.kt
@@ -6,12 +6,12 @@
 import kotlinx.serialization.json.Json
 
 /**
- * The value of a claim object.
+ * The stored value of a claim object.
  *
  * @property claimId unique for one attempt to claim; finding it in the object proves that this attempt succeeded
- * @property requestDigest digest of the request body, which must be equal for equal keys
- * @property createdAtEpochMillis wall-clock time of the claim, from which its retention counts
- * @property retentionMillis how long the record is kept, from the service document at the time of the claim
+ * @property requestDigest digest of the request body, which must be the same for every call with the same key
+ * @property createdAtEpochMillis wall-clock time of the claim; its retention period starts here
+ * @property retentionMillis retention period, from the service document at the time of the claim
  */
 @Serializable
 internal data class ClaimRecord(
--- a/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimRegistry.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimRegistry.kt
@@ -1,11 +1,11 @@
 /*
- * At-most-once for non-idempotent calls. A claim object is created by a conditional write before the dispatch, so of
- * all instances that hold the same key, one dispatches. The object API's answers can be lost, therefore each attempt
- * carries its own claim id: finding that id by read-back means that the write succeeded. Without a definite answer
- * nothing is dispatched, and the claim is released in the background.
+ * At-most-once execution of non-idempotent calls. A conditional write creates a claim object before the dispatch, so
+ * only one of the instances that receive the same key dispatches the call. Responses of the object API can be lost, so
+ * each attempt has a unique claim id: reading that id back proves that the write succeeded. If the outcome of the write
+ * stays unknown, nothing is dispatched and the claim is released in the background.
  *
- * A release writes the state RELEASED and never deletes. A delayed create, which expects that no object exists, then
- * fails instead of reviving a claim that was given up.
+ * A release writes the state RELEASED and never deletes the object. A delayed create, which requires that no object
+ * exists, then fails instead of recreating a claim that was released.
  */
 package io.sequoiawheel.core.claim
 
@@ -22,12 +22,12 @@
 import kotlinx.coroutines.withTimeoutOrNull
 
 /**
- * Claims of one entry instance. Thread-safe.
+ * Claims calls on behalf of one entry instance. Thread-safe.
  *
- * @param instance identity of this process; claims name it, so that others can tell a running call from a lost one
- * @param wallClock milliseconds since the epoch, for retention only
- * @param isLive whether an instance is known to be live or leaving, from the membership
- * @param newClaimId returns a value that never occurs twice in the deployment
+ * @param instance identity of this process; it is stored in claims so that others can tell a running call from a lost one
+ * @param wallClock milliseconds since the epoch, used only for retention
+ * @param isLive whether the membership table lists an instance as live or leaving
+ * @param newClaimId returns an id that is unique in the deployment
  */
 class ClaimRegistry(
     private val api: ObjectApi,
@@ -37,17 +37,17 @@
     private val newClaimId: () -> String,
     private val policy: ClaimPolicy = ClaimPolicy(),
 ) {
-    private val pending = PendingClaims(policy.maximumPending)
-    private val gate = StoreGate(wallClock)
+    private val pending = PendingClaimWrites(policy.maximumPendingWrites)
+    private val storeBreaker = StoreCircuitBreaker(wallClock)
 
-    /** Releases and completions that the object API has not confirmed yet. */
-    val pendingCount: Int get() = pending.size
+    /** Number of releases and completions that the object API has not confirmed yet. */
+    val pendingWriteCount: Int get() = pending.size
 
     /**
-     * Claims [key] for the body with [requestDigest], within [timeoutMillis]. If the coroutine is cancelled before the
-     * decision, a claim that may exist is released in the background.
+     * Claims [key] for the body with [requestDigest] within [timeoutMillis]. If the coroutine is cancelled before a
+     * decision is reached, a claim that may exist is released in the background.
      *
-     * @param retentionMillis how long the outcome is kept, from the service document
+     * @param retentionMillis retention period of the outcome, from the service document
      */
     suspend fun claim(
         key: ClaimKey,
@@ -55,7 +55,7 @@
         retentionMillis: Long,
         timeoutMillis: Long,
     ): ClaimDecision {
-        if (!gate.mayTry()) return ClaimDecision.Rejected(unavailable())
+        if (!storeBreaker.tryAcquire()) return ClaimDecision.Rejected(storeUnavailable())
         val record =
             ClaimRecord(
                 claimId = newClaimId(),
@@ -70,39 +70,42 @@
         try {
             decision = withTimeoutOrNull(timeoutMillis) { attempt.run() }
         } finally {
-            if (decision == null && attempt.mayExist) pending.add(PendingClaim.Release(attempt.ticket))
+            if (decision == null && attempt.mayExist) pending.add(PendingClaimWrite.Release(attempt.ticket))
         }
-        return decision ?: ClaimDecision.Rejected(unavailable())
+        return decision ?: ClaimDecision.Rejected(storeUnavailable())
     }
 
     /**
-     * Records the outcome of a dispatched call; a second outcome replaces the first. If the object API does not
-     * confirm it, the write is repeated in the background and the failure is returned; the caller's answer need not
-     * wait for it.
+     * Records the outcome of a dispatched call; a second outcome replaces the first. If the object API does not confirm
+     * the write, it is retried in the background and the failure is returned. The caller's answer need not wait for the
+     * retry.
      */
     suspend fun complete(
         ticket: ClaimTicket,
         answer: ClaimAnswer,
-    ): Either<Failure, Unit> = settle(PendingClaim.Complete(ticket, answer.bounded()))
+    ): Either<Failure, Unit> = writeOrEnqueue(PendingClaimWrite.Complete(ticket, answer.withBoundedBody()))
 
     /**
-     * Gives [ticket] up. Only for calls that were not dispatched, or for which the backend server proved that they did
-     * not run: the same key may run afterwards. Failures are repeated in the background.
+     * Releases [ticket], after which a call with the same key may run. Use it only if the call was not dispatched or the
+     * backend server confirmed that it did not run. A failed write is retried in the background.
      */
-    suspend fun release(ticket: ClaimTicket): Either<Failure, Unit> = settle(PendingClaim.Release(ticket))
+    suspend fun release(ticket: ClaimTicket): Either<Failure, Unit> = writeOrEnqueue(PendingClaimWrite.Release(ticket))
 
-    /** Releases [ticket] in the background, without waiting. The conditions of [release] apply. */
-    fun releaseLater(ticket: ClaimTicket) = pending.add(PendingClaim.Release(ticket))
+    /** Enqueues the release of [ticket] and returns immediately. The conditions of [release] apply. */
+    fun releaseLater(ticket: ClaimTicket) = pending.add(PendingClaimWrite.Release(ticket))
 
-    /** Returns the recorded outcome, or why there is none, from `OUTCOME_NOT_FOUND` to `PLATFORM_UNAVAILABLE`. */
+    /**
+     * Returns the recorded outcome, or a failure: `OUTCOME_NOT_FOUND`, `IN_PROGRESS`, `OUTCOME_UNKNOWN` or
+     * `PLATFORM_UNAVAILABLE`.
+     */
     suspend fun outcome(key: ClaimKey): Either<Failure, ClaimAnswer> =
         api.get(key.objectKey).fold(
-            { failure -> if (failure.isNotFound()) notFound().left() else failure.left() },
+            { failure -> if (failure.isNotFound()) outcomeNotFound().left() else failure.left() },
             { found ->
                 val record = ClaimRecord.decode(found.value)
                 when (record.state) {
-                    ClaimRecord.State.RELEASED -> notFound().left()
-                    ClaimRecord.State.CLAIMED -> unfinished(record).left()
+                    ClaimRecord.State.RELEASED -> outcomeNotFound().left()
+                    ClaimRecord.State.CLAIMED -> incompleteFailure(record).left()
                     ClaimRecord.State.COMPLETED ->
                         record.answer?.takeUnless { it.isUnknown() }?.right()
                             ?: Failure(ResultCode.OUTCOME_UNKNOWN).left()
@@ -110,27 +113,27 @@
             },
         )
 
-    /** Repeats pending releases and completions until cancelled. */
-    suspend fun runBackground() {
+    /** Retries pending releases and completions until cancelled. */
+    suspend fun retryPendingWrites() {
         while (true) {
-            delay(if (pending.size > 1) policy.backlogMillis else policy.backgroundMillis)
-            settlePending()
+            delay(if (pending.size > 1) policy.backlogDelayMillis else policy.pendingWriteDelayMillis)
+            retryNextPendingWrite()
         }
     }
 
-    /** Tries the most urgent pending release or completion once. */
-    suspend fun settlePending() {
-        val next = pending.first() ?: return
-        val code = write(next).leftOrNull()?.code
+    /** Tries the pending write of the highest priority once. */
+    suspend fun retryNextPendingWrite() {
+        val next = pending.next() ?: return
+        val code = reconcile(next).leftOrNull()?.code
         if (code == ResultCode.PLATFORM_UNAVAILABLE) return
         pending.remove(next)
         if (code == ResultCode.DOCUMENT_CONFLICT) pending.add(next)
     }
 
-    private suspend fun settle(work: PendingClaim): Either<Failure, Unit> {
+    private suspend fun writeOrEnqueue(work: PendingClaimWrite): Either<Failure, Unit> {
         var done = false
         try {
-            val result = api.put(work.ticket.key.objectKey, work.target().encode(), work.ticket.version)
+            val result = api.put(work.ticket.key.objectKey, work.targetRecord().encode(), work.ticket.version)
             done = result.isRight()
             return result.map { version -> work.ticket.version = version }
         } finally {
@@ -138,22 +141,22 @@
         }
     }
 
-    /** Brings the object to the state that [work] asks for, unless another claim holds the key by now. */
-    private suspend fun write(work: PendingClaim): Either<Failure, Unit> {
+    /** Updates the object to the target record of [work], unless another claim owns the key. */
+    private suspend fun reconcile(work: PendingClaimWrite): Either<Failure, Unit> {
         val key = work.ticket.key.objectKey
         val current = api.get(key)
         val found = current.getOrNull()
         if (found == null && current.leftOrNull()?.isNotFound() != true) return current.map { }
         val record = found?.let { ClaimRecord.decode(it.value) }
         if (record != null && record.claimId != work.ticket.claimId) return Unit.right()
-        val target = work.target()
-        if (record == target || record?.forbids(target) == true) return Unit.right()
+        val target = work.targetRecord()
+        if (record == target || record?.forbidsTransitionTo(target) == true) return Unit.right()
         // Writing RELEASED where no object exists makes a delayed create of this claim fail. A conflict means that the
-        // delayed create came first, or that the read was stale; the next pass sees which.
+        // delayed create took effect first or that the read was stale; the next retry reads the object again.
         return api.put(key, target.encode(), found?.version ?: 0).map { }
     }
 
-    private fun ClaimRecord.forbids(target: ClaimRecord): Boolean =
+    private fun ClaimRecord.forbidsTransitionTo(target: ClaimRecord): Boolean =
         when (state) {
             ClaimRecord.State.CLAIMED -> false
             ClaimRecord.State.RELEASED -> true
@@ -171,12 +174,12 @@
         private var foundReleased = false
 
         suspend fun run(): ClaimDecision? {
-            var pause = policy.firstRetryMillis
+            var retryDelayMillis = policy.initialRetryDelayMillis
             repeat(policy.claimAttempts) { attempt ->
                 attemptOnce()?.let { return it }
-                if (!gate.mayTry()) return null
-                if (attempt < policy.claimAttempts - 1 && !foundReleased) delay(pause)
-                pause *= 2
+                if (!storeBreaker.tryAcquire()) return null
+                if (attempt < policy.claimAttempts - 1 && !foundReleased) delay(retryDelayMillis)
+                retryDelayMillis *= 2
             }
             return null
         }
@@ -185,25 +188,25 @@
             mayExist = true
             foundReleased = false
             val written = api.put(ticket.key.objectKey, ticket.record.encode(), expectedVersion)
-            gate.record(written.leftOrNull()?.code != ResultCode.PLATFORM_UNAVAILABLE)
+            storeBreaker.record(written.leftOrNull()?.code != ResultCode.PLATFORM_UNAVAILABLE)
             written.getOrNull()?.let { return granted(it) }
-            return api.get(ticket.key.objectKey).fold({ null }, { decideFrom(it) })
+            return api.get(ticket.key.objectKey).fold({ null }, { decideFromExisting(it) })
         }
 
-        private fun decideFrom(found: StoredObject): ClaimDecision? {
+        private fun decideFromExisting(found: StoredObject): ClaimDecision? {
             val record = ClaimRecord.decode(found.value)
             if (record.claimId == ticket.claimId) {
                 return if (record.state == ClaimRecord.State.CLAIMED) granted(found.version) else null
             }
             return when {
-                record.state == ClaimRecord.State.RELEASED -> retryOver(found)
+                record.state == ClaimRecord.State.RELEASED -> retryAgainstReleased(found)
                 record.requestDigest != ticket.record.requestDigest -> rejected(ResultCode.IDEMPOTENCY_KEY_REUSED)
                 record.state == ClaimRecord.State.COMPLETED -> recorded(record)
-                else -> settled(ClaimDecision.Rejected(unfinished(record)))
+                else -> withoutOwnClaim(ClaimDecision.Rejected(incompleteFailure(record)))
             }
         }
 
-        private fun retryOver(found: StoredObject): ClaimDecision? {
+        private fun retryAgainstReleased(found: StoredObject): ClaimDecision? {
             expectedVersion = found.version
             foundReleased = true
             return null
@@ -214,29 +217,30 @@
             if (answer == null || answer.isUnknown()) {
                 return rejected(ResultCode.OUTCOME_UNKNOWN)
             }
-            return settled(ClaimDecision.Recorded(answer))
+            return withoutOwnClaim(ClaimDecision.Recorded(answer))
         }
 
-        private fun rejected(code: ResultCode) = settled(ClaimDecision.Rejected(Failure(code)))
+        private fun rejected(code: ResultCode) = withoutOwnClaim(ClaimDecision.Rejected(Failure(code)))
 
         private fun granted(version: Long): ClaimDecision {
             ticket.version = version
             return ClaimDecision.Granted(ticket)
         }
 
-        private fun settled(decision: ClaimDecision): ClaimDecision = decision.also { mayExist = false }
+        private fun withoutOwnClaim(decision: ClaimDecision): ClaimDecision = decision.also { mayExist = false }
     }
 
-    private fun unfinished(record: ClaimRecord): Failure =
+    private fun incompleteFailure(record: ClaimRecord): Failure =
         if (isLive(record.claimedBy)) {
             Failure(ResultCode.IN_PROGRESS, retryAfterMillis = policy.retryAfterMillis)
         } else {
-            Failure(ResultCode.OUTCOME_UNKNOWN, "the instance that held this call is gone before recording an outcome")
+            Failure(ResultCode.OUTCOME_UNKNOWN, "the instance that claimed this call is gone and recorded no outcome")
         }
 
-    private fun unavailable() = Failure(ResultCode.CLAIM_STORE_UNAVAILABLE, retryAfterMillis = policy.retryAfterMillis)
+    private fun storeUnavailable() =
+        Failure(ResultCode.CLAIM_STORE_UNAVAILABLE, retryAfterMillis = policy.retryAfterMillis)
 
-    private fun notFound() = Failure(ResultCode.OUTCOME_NOT_FOUND)
+    private fun outcomeNotFound() = Failure(ResultCode.OUTCOME_NOT_FOUND)
 
     private fun Failure.isNotFound() = code == ResultCode.OBJECT_NOT_FOUND
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimTicket.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimTicket.kt
@@ -1,14 +1,14 @@
 package io.sequoiawheel.core.claim
 
 /**
- * The right to dispatch one non-idempotent call once. Its owner ends it by `complete` or `release`; a ticket that is
- * never ended leaves a claim without outcome, which is never dispatched again.
+ * Permits one dispatch of one non-idempotent call. The owner must call `complete` or `release`; otherwise the claim
+ * stays without an outcome and the call is never dispatched again.
  */
 class ClaimTicket internal constructor(
     val key: ClaimKey,
     internal val record: ClaimRecord,
 ) {
-    /** Version of the claim object as last known; only a hint, the object API decides. */
+    /** Last known version of the claim object. It may be stale; the object API rejects a write with an old version. */
     @Volatile
     internal var version = 0L
 
--- a/core/src/main/kotlin/io/sequoiawheel/core/configuration/AcceptedDocument.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/configuration/AcceptedDocument.kt
@@ -9,10 +9,10 @@
 import kotlinx.serialization.json.Json
 
 /**
- * A document that is to be in force everywhere, with the history of its service. It is one object, so that the
- * acceptance, its generation and its audit entry are one conditional update.
+ * An accepted service document with the audit trail of its service. Both are one object, so that a single conditional
+ * update accepts the document, assigns its generation and appends the audit entry.
  *
- * @property generation rises by one with each accepted change of the service
+ * @property generation increases by one with each accepted change of the service
  * @property documentVersion version of the operators' document that was accepted
  * @property audit the last [MAXIMUM_AUDIT_ENTRIES] accepted changes, oldest first
  */
@@ -23,28 +23,28 @@
     val document: ServiceDocument,
     val audit: List<AuditEntry>,
 ) {
-    /** The service that this configures. */
+    /** The service that the document configures. */
     val service: ServiceName get() = document.service
 
-    /** Whether the service has been ended. */
+    /** Whether the document deletes the service. */
     val isTombstone: Boolean get() = document.deleted
 
-    /** Returns the JSON text, as it is stored and relayed. */
+    /** Returns the JSON text that is stored and relayed. */
     fun encode(): String = json.encodeToString(serializer(), this)
 
     companion object {
-        /** Bounds the object, which must stay under the object API's limit of 1 MB. */
+        /** Limits the size of the object, which must stay under the object API's limit of 1 MB. */
         const val MAXIMUM_AUDIT_ENTRIES = 50
 
-        // Fields that a newer instance accepted are ignored, so that an older one keeps following during a replacement
-        // of the fleet. Operators' documents are read strictly.
+        // Unknown fields are ignored, so that an older instance still applies documents that a newer one accepted during
+        // a rolling upgrade. Documents from operators are parsed strictly.
         private val json =
             Json {
                 ignoreUnknownKeys = true
                 encodeDefaults = true
             }
 
-        /** Reads the text of [encode]; `INTERNAL_ERROR` if it is not an accepted document. */
+        /** Parses the output of [encode]; fails with `INTERNAL_ERROR` if [text] is not an accepted document. */
         fun decode(text: String): Either<Failure, AcceptedDocument> =
             Either
                 .catch { json.decodeFromString(serializer(), text) }
--- a/core/src/main/kotlin/io/sequoiawheel/core/configuration/AppliedConfiguration.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/configuration/AppliedConfiguration.kt
@@ -10,16 +10,16 @@
 import org.apache.commons.codec.digest.MurmurHash3
 
 /**
- * The configuration in force in one daemon. The generation of a service only ever rises, in whatever order documents
- * arrive and from whichever peer. Thread-safe.
+ * The configuration in force in one daemon. The generation of a service never decreases, regardless of the order in
+ * which documents arrive and of the peers that send them. Thread-safe.
  */
 class AppliedConfiguration {
     private val state = MutableStateFlow<PersistentMap<ServiceName, AcceptedDocument>>(persistentMapOf())
 
-    /** What is in force by service, tombstones included; emits each change. */
+    /** Documents in force by service, tombstones included; emits each change. */
     val inForce: StateFlow<PersistentMap<ServiceName, AcceptedDocument>> = state.asStateFlow()
 
-    /** Puts [accepted] in force if its generation is higher than the one in force; returns whether it was. */
+    /** Applies [accepted] if its generation is higher than the one in force; returns whether it was applied. */
     fun apply(accepted: AcceptedDocument): Boolean {
         while (true) {
             val current = state.value
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Returns the document in force, or null if the service does not exist or was ended. */
+    /** Returns the document in force, or null if the service does not exist or was deleted. */
     fun of(service: ServiceName): ServiceDocument? = state.value[service]?.takeUnless { it.isTombstone }?.document
 
     /** Returns the generation in force, 0 if there is none. */
@@ -37,7 +37,7 @@
     /** Returns the generations in force by service, tombstones included. */
     fun generations(): Map<ServiceName, Long> = state.value.mapValues { it.value.generation }
 
-    /** Whether nothing was ever applied. */
+    /** Whether no document has been applied yet. */
     val isEmpty: Boolean get() = state.value.isEmpty()
 
     /** Returns a digest of services and generations: equal configurations have equal digests. */
--- a/core/src/main/kotlin/io/sequoiawheel/core/configuration/ConfigurationReader.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/configuration/ConfigurationReader.kt
@@ -12,11 +12,11 @@
 import io.sequoiawheel.core.platform.ObjectKey
 import io.sequoiawheel.core.platform.ObjectKind
 
-/** What operators read of the configuration. Failures: `OBJECT_NOT_FOUND`, `PLATFORM_UNAVAILABLE`. */
+/** Read access to the configuration for operators. Failures: `OBJECT_NOT_FOUND`, `PLATFORM_UNAVAILABLE`. */
 class ConfigurationReader(
     private val api: ObjectApi,
 ) {
-    /** Returns the verdict on the latest document of [service]. */
+    /** Returns the status of the latest document of [service]. */
     suspend fun status(service: ServiceName): Either<Failure, DocumentStatus> =
         api.get(ObjectKey(ObjectKind.STATUS, service.value)).flatMap { DocumentStatus.decode(it.value) }
 
@@ -27,13 +27,13 @@
     /** Returns the accepted changes of [service], oldest first. */
     suspend fun audit(service: ServiceName): Either<Failure, List<AuditEntry>> = accepted(service).map { it.audit }
 
-    /** Returns what each zone reports to be in force. */
+    /** Returns the in-force status that each zone reported. */
     suspend fun inForce(): Either<Failure, List<InForceStatus>> =
         api.list(ObjectKind.IN_FORCE).map { listing ->
             listing.objects.mapNotNull { InForceStatus.decode(it.value).getOrNull() }
         }
 
-    /** Succeeds if every zone of [zones] confirms [generation]; else `NOT_YET_IN_FORCE` names the missing zones. */
+    /** Succeeds if all [zones] confirm [generation]; otherwise fails with `NOT_YET_IN_FORCE` and the missing zones. */
     suspend fun confirmInForce(
         service: ServiceName,
         generation: Long,
--- a/core/src/main/kotlin/io/sequoiawheel/core/configuration/DocumentAcceptor.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/configuration/DocumentAcceptor.kt
@@ -1,8 +1,8 @@
 /*
- * Turns operators' documents into accepted ones. Its holder has the lease `acceptor`, but correctness does not rest on
- * the lease: each acceptance is one conditional update of `accepted/<service>`, and a document is accepted only if its
- * version is higher than the accepted one's. A paused holder, a stale read or a lost answer can therefore neither
- * revert an accepted change nor record it twice.
+ * Validates and accepts the documents that operators write. The instance that runs it holds the lease `acceptor`, but
+ * correctness does not depend on the lease: each acceptance is one conditional update of `accepted/<service>`, and a
+ * document is accepted only if its version is higher than that of the accepted one. A paused lease holder, a stale read
+ * or a lost response can therefore neither revert an accepted change nor record it twice.
  */
 package io.sequoiawheel.core.configuration
 
@@ -26,36 +26,36 @@
 /**
  * Accepts or rejects service documents.
  *
- * @param wallClock milliseconds since the epoch, for the audit trail only
- * @param mayAct whether this instance holds the acceptor lease now; asked before each write
- * @param onAccepted told of each acceptance as soon as it is known, so that its spreading need not wait for a watch and
- *   survives an outage of the object API that begins right after it
+ * @param wallClock milliseconds since the epoch, used only for the audit trail
+ * @param holdsLease whether this instance holds the acceptor lease now; checked before each write
+ * @param onAccepted called as soon as an acceptance is known, so that the document is relayed without waiting for a
+ *   watch, and even if an outage of the object API begins right after the acceptance
  */
 class DocumentAcceptor(
     private val api: ObjectApi,
     private val instance: InstanceId,
     private val wallClock: Clock,
-    private val mayAct: () -> Boolean,
+    private val holdsLease: () -> Boolean,
     private val onAccepted: (AcceptedDocument) -> Unit = {},
 ) {
-    // Versions that need no further work, so that a relisting costs no writes.
-    private val judged = HashMap<ObjectKey, Long>()
+    // Document versions that are already processed, so that listing them again causes no writes.
+    private val processedVersions = HashMap<ObjectKey, Long>()
 
     /**
-     * Judges documents as they change until cancelled. Every pass begins with a complete listing, then waits for
-     * changes; without the lease it only waits.
+     * Processes documents as they change until cancelled. Each pass lists all documents and then watches for changes;
+     * without the lease it only waits.
      */
     suspend fun run() {
         while (true) {
-            if (!mayAct() || acceptAll().isLeft()) delay(RETRY_MILLIS)
+            if (!holdsLease() || acceptAll().isLeft()) delay(RETRY_MILLIS)
         }
     }
 
-    /** Judges every document once, then follows changes until a call fails or the lease is gone. */
+    /** Processes every document once, then watches for changes until a call fails or the lease is lost. */
     private suspend fun acceptAll(): Either<Failure, Unit> {
-        judged.clear()
+        processedVersions.clear()
         var listing = api.list(ObjectKind.DOCUMENT).fold({ return it.left() }, { it })
-        while (mayAct()) {
+        while (holdsLease()) {
             for (document in listing.objects) {
                 accept(document).onLeft { return it.left() }
             }
@@ -66,27 +66,28 @@
     }
 
     /**
-     * Judges one document. Returns its status, which is the earlier one if it had been judged before. Failures:
-     * `LEASE_LOST`, `PLATFORM_UNAVAILABLE`, or `DOCUMENT_CONFLICT` if another acceptor was first; try again then.
+     * Accepts or rejects one document. Returns its status, or null if this instance processed the version before or a
+     * later version is already accepted. Failures: `LEASE_LOST`, `PLATFORM_UNAVAILABLE`, or `DOCUMENT_CONFLICT` if
+     * another acceptor wrote first; the call may then be retried.
      */
     suspend fun accept(document: StoredObject): Either<Failure, DocumentStatus?> {
-        if ((judged[document.key] ?: 0) >= document.version) return null.right()
+        if ((processedVersions[document.key] ?: 0) >= document.version) return null.right()
         val acceptedKey = ObjectKey(ObjectKind.ACCEPTED, document.key.name)
         return readAccepted(acceptedKey)
             .flatMap { current ->
                 val previous = current?.accepted
                 if (previous != null && previous.documentVersion >= document.version) {
-                    alreadyAccepted(document, previous)
+                    repeatStatus(document, previous)
                 } else {
-                    judge(document, previous).fold(
+                    validate(document, previous).fold(
                         { faults -> writeStatus(status(document, previous, faults)) },
                         { parsed -> writeAccepted(document, parsed, acceptedKey, current) },
                     )
                 }
-            }.onRight { judged[document.key] = document.version }
+            }.onRight { processedVersions[document.key] = document.version }
     }
 
-    private fun judge(
+    private fun validate(
         document: StoredObject,
         previous: AcceptedDocument?,
     ): Either<List<DocumentFault>, ServiceDocument> {
@@ -109,19 +110,19 @@
         document: StoredObject,
         parsed: ServiceDocument,
         key: ObjectKey,
-        current: Current?,
+        current: StoredAcceptance?,
     ): Either<Failure, DocumentStatus?> {
-        val accepted = next(document, parsed, current?.accepted)
-        if (!mayAct()) return leaseLost().left()
+        val accepted = nextAccepted(document, parsed, current?.accepted)
+        if (!holdsLease()) return leaseLost().left()
         val written = api.put(key, accepted.encode(), current?.version ?: 0)
         val failure = written.leftOrNull()
-        if (failure != null && !tookEffect(key, accepted)) return failure.left()
+        if (failure != null && !wasAccepted(key, accepted)) return failure.left()
         onAccepted(accepted)
         return writeStatus(status(document, accepted, emptyList()))
     }
 
-    /** Reads back after a lost answer or a conflict with an own write that arrived late. */
-    private suspend fun tookEffect(
+    /** Reads the object back after a lost response, or after a conflict with an own write that arrived late. */
+    private suspend fun wasAccepted(
         key: ObjectKey,
         accepted: AcceptedDocument,
     ): Boolean =
@@ -131,7 +132,7 @@
             ?.audit
             ?.contains(accepted.audit.last()) == true
 
-    private fun next(
+    private fun nextAccepted(
         document: StoredObject,
         parsed: ServiceDocument,
         previous: AcceptedDocument?,
@@ -144,7 +145,7 @@
                 author = parsed.author,
                 acceptedBy = instance.value,
                 atEpochMillis = wallClock.nowMillis(),
-                changes = DocumentDifference.between(previous?.document, parsed),
+                changes = DocumentDiff.between(previous?.document, parsed),
                 verdict = if (parsed.deleted) "deleted" else "accepted",
             )
         val audit = previous?.audit.orEmpty() + entry
@@ -156,8 +157,8 @@
         )
     }
 
-    /** Repeats the status of an acceptance whose acceptor stopped between its two writes. */
-    private suspend fun alreadyAccepted(
+    /** Writes the missing status if an acceptor stopped between accepting the document and writing its status. */
+    private suspend fun repeatStatus(
         document: StoredObject,
         accepted: AcceptedDocument,
     ): Either<Failure, DocumentStatus?> =
@@ -181,7 +182,7 @@
         atEpochMillis = wallClock.nowMillis(),
     )
 
-    /** Writes [status] unless the object already tells of this or a later version. */
+    /** Writes [status] unless the stored status already covers this or a later document version. */
     private suspend fun writeStatus(status: DocumentStatus): Either<Failure, DocumentStatus?> {
         val key = ObjectKey(ObjectKind.STATUS, status.service)
         val found = api.get(key)
@@ -189,19 +190,19 @@
         if (failure != null && failure.code != ResultCode.OBJECT_NOT_FOUND) return failure.left()
         val current = found.getOrNull()?.let { DocumentStatus.decode(it.value).getOrNull() }
         if (current != null && current.documentVersion >= status.documentVersion) return current.right()
-        if (!mayAct()) return leaseLost().left()
+        if (!holdsLease()) return leaseLost().left()
         return api.put(key, status.encode(), found.getOrNull()?.version ?: 0).map { status }
     }
 
-    private class Current(
+    private class StoredAcceptance(
         val version: Long,
         val accepted: AcceptedDocument,
     )
 
-    private suspend fun readAccepted(key: ObjectKey): Either<Failure, Current?> =
+    private suspend fun readAccepted(key: ObjectKey): Either<Failure, StoredAcceptance?> =
         api.get(key).fold(
             { if (it.code == ResultCode.OBJECT_NOT_FOUND) null.right() else it.left() },
-            { found -> AcceptedDocument.decode(found.value).map { Current(found.version, it) } },
+            { found -> AcceptedDocument.decode(found.value).map { StoredAcceptance(found.version, it) } },
         )
 
     private fun leaseLost() = Failure(ResultCode.LEASE_LOST)
@@ -210,7 +211,7 @@
         const val RETRY_MILLIS = 1_000L
         const val WATCH_MILLIS = 30_000L
 
-        // Leaves room for 50 audit entries of at most 2 KB in an object of at most 1 MB.
+        // The object is limited to 1 MB; the remainder is for 50 audit entries of at most 2 KB.
         const val MAXIMUM_DOCUMENT_LENGTH = 600_000
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/configuration/DocumentDifference.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/configuration/DocumentDiff.kt
@@ -7,12 +7,12 @@
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
 
-/** Names the fields that differ between two documents, for the audit trail. */
-internal object DocumentDifference {
+/** Lists the fields that differ between two documents, for the audit trail. */
+internal object DocumentDiff {
     private const val MAXIMUM_CHANGES = 10
     private const val MAXIMUM_LENGTH = 160
 
-    /** Returns `path: old -> new` for each changed field, bounded in number and length. */
+    /** Returns `path: old -> new` for each changed field, limited in number and length. */
     fun between(
         before: ServiceDocument?,
         after: ServiceDocument,
@@ -30,15 +30,15 @@
         path: String,
         before: JsonElement?,
         after: JsonElement?,
-        into: MutableList<String>,
+        changes: MutableList<String>,
     ) {
         when {
             before == after -> Unit
             before is JsonObject && after is JsonObject ->
-                (before.keys + after.keys).forEach { compare("$path.$it", before[it], after[it], into) }
+                (before.keys + after.keys).forEach { compare("$path.$it", before[it], after[it], changes) }
             before is JsonArray && after is JsonArray && before.size == after.size ->
-                before.indices.forEach { compare("$path[$it]", before[it], after[it], into) }
-            else -> into += "$path: ${before ?: "absent"} -> ${after ?: "absent"}".take(MAXIMUM_LENGTH)
+                before.indices.forEach { compare("$path[$it]", before[it], after[it], changes) }
+            else -> changes += "$path: ${before ?: "absent"} -> ${after ?: "absent"}".take(MAXIMUM_LENGTH)
         }
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/configuration/DocumentStatus.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/configuration/DocumentStatus.kt
@@ -9,10 +9,10 @@
 import kotlinx.serialization.json.Json
 
 /**
- * What became of the operators' latest document of one service, in the object `status/<service>`.
+ * The acceptance status of the latest document that operators wrote for a service; stored as `status/<service>`.
  *
- * @property documentVersion the version that was judged
- * @property generation the generation that is accepted now; 0 if none is
+ * @property documentVersion the version that was accepted or rejected
+ * @property generation the currently accepted generation; 0 if there is none
  * @property faults why the document was rejected, with field paths; empty if it was accepted
  */
 @Serializable
@@ -24,7 +24,7 @@
     val faults: List<DocumentFault>,
     val atEpochMillis: Long,
 ) {
-    /** Whether the document took effect. */
+    /** Whether the document was accepted. */
     @Serializable
     enum class Verdict {
         @SerialName("accepted")
--- a/core/src/main/kotlin/io/sequoiawheel/core/configuration/InForceStatus.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/configuration/InForceStatus.kt
@@ -8,10 +8,10 @@
 import kotlinx.serialization.json.Json
 
 /**
- * What a zone's watcher says is in force in its zone, in the object `in-force/<zone>`.
+ * The generations in force in a zone, as reported by one of its watchers; stored as `in-force/<zone>`.
  *
- * @property expectedInstances entry instances of the zone that the watcher knows; if fewer reported, the report is
- *   incomplete
+ * @property expectedInstances number of entry instances of the zone that the watcher knows; the report is incomplete if
+ *   fewer of them reported
  */
 @Serializable
 data class InForceStatus(
--- a/core/src/main/kotlin/io/sequoiawheel/core/configuration/RepairPeers.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/configuration/RepairPeers.kt
@@ -3,16 +3,16 @@
 import io.sequoiawheel.core.membership.RelayTree
 import io.sequoiawheel.core.model.InstanceId
 
-/** Whom an instance compares digests with. */
+/** Selects the peers with which an instance compares configuration digests (anti-entropy). */
 object RepairPeers {
     /**
-     * Returns the peers to ask in turn until one answers: the tree parent, the zone's watchers, and watchers of other
-     * zones. With the parent alone, a paused instance keeps everything below it on an old configuration; with the zone
-     * alone, two paused watchers do.
+     * Returns the peers to query in order until one answers: the tree parent, the zone's watchers, and watchers of other
+     * zones. If only the parent were queried, one paused instance would keep its subtree on an old configuration; with
+     * peers of the own zone only, two paused watchers would do so for the whole zone.
      */
     fun candidates(
         self: InstanceId,
         tree: RelayTree,
-        foreignWatchers: List<InstanceId>,
-    ): List<InstanceId> = (listOfNotNull(tree.parent(self)) + tree.watchers + foreignWatchers).distinct() - self
+        otherZoneWatchers: List<InstanceId>,
+    ): List<InstanceId> = (listOfNotNull(tree.parent(self)) + tree.watchers + otherZoneWatchers).distinct() - self
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/configuration/SubtreeProgress.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/configuration/SubtreeProgress.kt
@@ -2,37 +2,37 @@
 
 import io.sequoiawheel.core.model.InstanceId
 
-/** Collects the reports of an instance's tree children. Thread-safe. */
+/** Aggregates the in-force reports of an instance's children in the relay tree. Thread-safe. */
 class SubtreeProgress(
     private val applied: AppliedConfiguration,
 ) {
-    private class Child(
+    private class ChildReport(
         val report: SubtreeReport,
         val receivedAt: Long,
     )
 
-    private val children = HashMap<InstanceId, Child>()
+    private val childReports = HashMap<InstanceId, ChildReport>()
 
-    /** Replaces the report of [child]. */
+    /** Stores [report] as the latest report of [child]. */
     @Synchronized
     fun receive(
         child: InstanceId,
         report: SubtreeReport,
         nowMillis: Long,
     ) {
-        children[child] = Child(report, nowMillis)
+        childReports[child] = ChildReport(report, nowMillis)
     }
 
-    /** Returns the report of this instance and the children that reported within [FRESH_MILLIS]. */
+    /** Returns the combined report of this instance and the children that reported within [REPORT_LIFETIME_MILLIS]. */
     @Synchronized
     fun report(nowMillis: Long): SubtreeReport {
-        children.values.removeIf { nowMillis - it.receivedAt > FRESH_MILLIS }
+        childReports.values.removeIf { nowMillis - it.receivedAt > REPORT_LIFETIME_MILLIS }
         val own = SubtreeReport(1, applied.generations())
-        return children.values.fold(own) { sum, child -> sum + child.report }
+        return childReports.values.fold(own) { sum, child -> sum + child.report }
     }
 
     companion object {
-        /** Three digest comparisons, in milliseconds; a child that moved in the tree is then no longer counted. */
-        const val FRESH_MILLIS = 6_000L
+        /** Three intervals of the digest comparison. After it a child that moved in the tree is no longer counted. */
+        const val REPORT_LIFETIME_MILLIS = 6_000L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/configuration/SubtreeReport.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/configuration/SubtreeReport.kt
@@ -4,17 +4,17 @@
 import kotlinx.serialization.Serializable
 
 /**
- * What is in force in one part of a zone's tree.
+ * The generations in force in a subtree of a zone's relay tree.
  *
- * @property instances how many instances reported, the sender included
- * @property lowest the lowest generation in force by service; an absent service counts as 0
+ * @property instances number of instances that reported, the sender included
+ * @property lowest the lowest generation in force by service; a missing service counts as 0
  */
 @Serializable
 data class SubtreeReport(
     val instances: Int,
     val lowest: Map<ServiceName, Long>,
 ) {
-    /** Returns the report of this part and [other] together. */
+    /** Returns the combination of this report and [other]. */
     operator fun plus(other: SubtreeReport): SubtreeReport {
         val services = lowest.keys + other.lowest.keys
         return SubtreeReport(
--- a/core/src/main/kotlin/io/sequoiawheel/core/lease/Lease.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/lease/Lease.kt
@@ -1,7 +1,8 @@
 /*
- * A lease on one duty, kept in one object. No clock is shared: a contender measures on its own clock how long the
- * object's version stays unchanged, and the holder counts its term from before it sent the renewal, thus always less
- * than any contender does. The fencing number is for targets that outlive a pause between the check and the action.
+ * A lease stored in one object. It needs no synchronized clocks: a contender measures on its own clock how long the
+ * object's version stays unchanged, and the holder counts its term from before it sent the renewal, so the holder's term
+ * always ends before any contender's wait. The fencing number lets a target refuse an action of an earlier holder that
+ * was paused between checking the lease and acting.
  */
 package io.sequoiawheel.core.lease
 
@@ -15,7 +16,8 @@
 import kotlinx.coroutines.delay
 
 /**
- * One instance's part in the lease [name]. [run] is one coroutine; [tenure] and [mayAct] may be read from any thread.
+ * One instance's view of the lease [name]. [run] must be called by one coroutine only; [tenure] and [isHeld] may be read
+ * from any thread.
  */
 class Lease(
     private val api: ObjectApi,
@@ -31,81 +33,84 @@
     )
 
     private val key = ObjectKey(ObjectKind.LEASE, name)
-    private var observed: Observation? = null
+    private var lastObservation: Observation? = null
     private var renewal = 0L
     private var version = 0L
 
     @Volatile
     private var current: Tenure? = null
 
-    /** The tenure in which this instance may act now, or null. Ask before each action. */
-    val tenure: Tenure? get() = current?.takeIf { clock.nowMillis() < it.actUntil }
+    /** The current tenure of this instance, or null if it does not hold the lease. Check it before each action. */
+    val tenure: Tenure? get() = current?.takeIf { clock.nowMillis() < it.validUntil }
 
-    /** Returns whether this instance may act now. */
-    fun mayAct(): Boolean = tenure != null
+    /** Returns whether this instance holds the lease now. */
+    fun isHeld(): Boolean = tenure != null
 
     /** Contends for the lease and renews it until cancelled. */
     suspend fun run() {
         while (true) {
-            step()
+            contendOrRenew()
             delay(if (current == null) policy.pollMillis else policy.renewMillis)
         }
     }
 
     /** Makes one attempt to observe, take over or renew. */
-    suspend fun step() {
+    suspend fun contendOrRenew() {
         if (current == null) contend() else renew()
     }
 
-    /** Gives the lease up, so that a contender need not wait for the term; the answer may be lost without harm. */
+    /** Releases the lease so that a contender need not wait for the term to end. A lost write only causes that wait. */
     suspend fun resign() {
-        val held = current ?: return
+        val heldTenure = current ?: return
         current = null
-        api.put(key, LeaseRecord(instance.value, held.fencing, 0, ++renewal).encode(), version)
+        api.put(key, LeaseRecord(instance.value, heldTenure.fencing, 0, ++renewal).encode(), version)
     }
 
     private suspend fun renew() {
-        val held = current ?: return
+        val heldTenure = current ?: return
         val sentAt = clock.nowMillis()
-        val record = LeaseRecord(instance.value, held.fencing, policy.termMillis, ++renewal)
+        val record = LeaseRecord(instance.value, heldTenure.fencing, policy.termMillis, ++renewal)
         api.put(key, record.encode(), version).fold(
-            { readBack(record, sentAt) },
-            { prolong(it, sentAt) },
+            { resolveUnconfirmedRenewal(record, sentAt) },
+            { extend(it, sentAt) },
         )
     }
 
-    /** Decides an unconfirmed renewal: its own record prolongs, a foreign one ends the tenure, silence does neither. */
-    private suspend fun readBack(
+    /**
+     * Reads the object back after an unconfirmed renewal: the record of this renewal extends the tenure, one of another
+     * holder ends it, and a failed read does neither.
+     */
+    private suspend fun resolveUnconfirmedRenewal(
         record: LeaseRecord,
         sentAt: Long,
     ) {
         api.get(key).fold(
-            { if (it.code == ResultCode.OBJECT_NOT_FOUND) lose() },
+            { if (it.code == ResultCode.OBJECT_NOT_FOUND) endTenure() },
             { found ->
                 val stored = LeaseRecord.decode(found.value)
                 when {
-                    stored == record -> prolong(found.version, sentAt)
-                    stored.holder != record.holder || stored.fencing != record.fencing -> lose()
-                    // An earlier renewal took effect late: continue from its version, without a longer term. A stale
-                    // read must not move the version back.
+                    stored == record -> extend(found.version, sentAt)
+                    stored.holder != record.holder || stored.fencing != record.fencing -> endTenure()
+                    // An earlier renewal took effect late: continue from its version without extending the term. A stale
+                    // read must not decrease the version.
                     else -> version = maxOf(version, found.version)
                 }
             },
         )
-        if (tenure == null) lose()
+        if (tenure == null) endTenure()
     }
 
-    private fun prolong(
+    private fun extend(
         newVersion: Long,
         sentAt: Long,
     ) {
         version = newVersion
-        current = current?.copy(actUntil = sentAt + policy.termMillis - policy.marginMillis)
+        current = current?.copy(validUntil = sentAt + policy.termMillis - policy.marginMillis)
     }
 
-    private fun lose() {
+    private fun endTenure() {
         current = null
-        observed = null
+        lastObservation = null
     }
 
     private suspend fun contend() {
@@ -117,13 +122,13 @@
 
     private suspend fun observe(found: StoredObject) {
         val now = clock.nowMillis()
-        val last = observed
+        val last = lastObservation
         if (last == null || last.version != found.version) {
-            observed = Observation(found.version, LeaseRecord.decode(found.value), now)
+            lastObservation = Observation(found.version, LeaseRecord.decode(found.value), now)
             return
         }
-        val silence = now - last.firstSeenAt
-        if (silence > last.record.termMillis + policy.marginMillis) takeOver(last.version, last.record.fencing)
+        val unchangedMillis = now - last.firstSeenAt
+        if (unchangedMillis > last.record.termMillis + policy.marginMillis) takeOver(last.version, last.record.fencing)
     }
 
     private suspend fun takeOver(
--- a/core/src/main/kotlin/io/sequoiawheel/core/lease/LeaseRecord.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/lease/LeaseRecord.kt
@@ -4,11 +4,11 @@
 import kotlinx.serialization.json.Json
 
 /**
- * The value of a lease object.
+ * The stored value of a lease object.
  *
- * @property fencing rises by one with each change of the holder
+ * @property fencing increases by one each time a holder acquires the lease
  * @property termMillis how long the holder may act after a renewal; 0 once the holder resigned
- * @property renewal counts renewals, so that a read-back can tell which of several lost ones took effect
+ * @property renewal increases with each write of the holder, so that reading the object back shows which unconfirmed write took effect
  */
 @Serializable
 data class LeaseRecord(
--- a/core/src/main/kotlin/io/sequoiawheel/core/order/OrderController.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/order/OrderController.kt
@@ -12,7 +12,7 @@
  * @param replicas the replicas of a service as the membership knows them
  * @param models the models that a replica's load report names, or null if it cannot be read
  * @param inUse whether requests for a model of a service arrived recently
- * @param mayAct whether this instance holds the lease now
+ * @param holdsLease whether this instance holds the lease now
  */
 class OrderController(
     private val engines: EngineOrders,
@@ -23,12 +23,18 @@
     private val replicas: (ServiceDocument) -> List<Instance>,
     private val models: suspend (Instance) -> Set<String>?,
     private val inUse: (ServiceDocument, String) -> Boolean,
-    private val mayAct: () -> Boolean,
+    private val holdsLease: () -> Boolean,
 ) {
     /** Reconciles every [intervalMillis] until cancelled. */
     suspend fun run(intervalMillis: Long = DEFAULT_INTERVAL_MILLIS) {
         while (true) {
-            if (mayAct()) documents().filter { it.kind == ServiceDocument.Kind.MODEL_ENGINE }.forEach { reconcile(it) }
+            if (holdsLease()) {
+                documents().filter { it.kind == ServiceDocument.Kind.MODEL_ENGINE }.forEach {
+                    reconcile(
+                        it,
+                    )
+                }
+            }
             delay(intervalMillis)
         }
     }
@@ -39,7 +45,7 @@
         val reachable = known.mapNotNull { read(it) }
         // A replica that cannot be read does not count as warm, so it never justifies unloading another one.
         val steps = OrderPlanner.plan(document, reachable) { inUse(document, it) }
-        return steps.count { step -> mayAct() && perform(step, document) }
+        return steps.count { step -> holdsLease() && perform(step, document) }
     }
 
     private suspend fun read(replica: Instance): ReplicaOrders? {
--- a/core/src/test/kotlin/io/sequoiawheel/core/claim/PendingClaimsTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/claim/PendingClaimWritesTest.kt
@@ -7,24 +7,24 @@
 import org.jetbrains.lincheck.datastructures.Operation
 import org.junit.jupiter.api.Test
 
-/** Guards against a pending release that is lost or repeated when requests and the background pass meet. */
-class PendingClaimsTest {
-    private val queue = PendingClaims(2)
-    private val items =
+/** Guards against a pending write that is lost or repeated when requests and the background retry run concurrently. */
+class PendingClaimWritesTest {
+    private val queue = PendingClaimWrites(2)
+    private val writes =
         listOf("a", "b", "c").map { name ->
             val key = ClaimKey(ServiceName("s"), WorkspaceName("w"), "call", name)
             val record = ClaimRecord(name, "", ClaimRecord.State.CLAIMED, InstanceId("i"), 0, 0)
-            PendingClaim.Release(ClaimTicket(key, record))
+            PendingClaimWrite.Release(ClaimTicket(key, record))
         }
 
     @Operation
-    fun add(index: Int) = queue.add(items[Math.floorMod(index, items.size)])
+    fun add(index: Int) = queue.add(writes[Math.floorMod(index, writes.size)])
 
     @Operation
-    fun first(): String? = queue.first()?.ticket?.claimId
+    fun next(): String? = queue.next()?.ticket?.claimId
 
     @Operation
-    fun remove(index: Int) = queue.remove(items[Math.floorMod(index, items.size)])
+    fun remove(index: Int) = queue.remove(writes[Math.floorMod(index, writes.size)])
 
     @Operation
     fun size(): Int = queue.size
--- a/core/src/test/kotlin/io/sequoiawheel/core/configuration/AppliedConfigurationTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/configuration/AppliedConfigurationTest.kt
@@ -33,7 +33,7 @@
     @Operation
     fun generationInForce(): Long = applied.generationOf(desk)
 
-    /** Guards against two concurrent updates of which the older one stays in force. */
+    /** Guards against two concurrent updates after which the older generation stays in force. */
     @Test
     fun `operations are linearizable`() =
         ModelCheckingOptions()
@@ -43,7 +43,7 @@
             .invocationsPerIteration(300)
             .check(this::class)
 
-    /** Guards against a late relay that reverts a newer generation, and against digests that hide a difference. */
+    /** Guards against a late message that reverts a newer generation, and against equal digests of different states. */
     @Test
     fun `an older generation is ignored and digests follow generations`() {
         applied.apply(generation(2))
@@ -54,9 +54,9 @@
         assertNotEquals(digest, applied.digest())
     }
 
-    /** Guards against reporting a change in force although one child of the tree lacks the service. */
+    /** Guards against reporting a change as in force while a child in the tree has not applied it. */
     @Test
-    fun `a subtree reports the lowest generation and forgets silent children`() {
+    fun `a subtree reports the lowest generation and drops children that stop reporting`() {
         applied.apply(generation(5))
         val progress = SubtreeProgress(applied)
         val child = InstanceId("child")
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/EntryDaemon.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/EntryDaemon.kt
@@ -122,10 +122,10 @@
         }
         metrics.gauge("sequoiawheel.requests.in.progress") { gate.requests }
         metrics.gauge("sequoiawheel.requests.waiting") { placement.waiting }
-        metrics.gauge("sequoiawheel.claims.pending") { claims.pendingCount }
+        metrics.gauge("sequoiawheel.claims.pending") { claims.pendingWriteCount }
         control.start()
         scope.supervise("registration") { keepRegistered() }
-        scope.supervise("claims") { claims.runBackground() }
+        scope.supervise("claims") { claims.retryPendingWrites() }
         logger.info { "entry instance ${settings.instanceId} listens on ${settings.listen.host}:$port" }
         return Unit.right()
     }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ComparisonController.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ComparisonController.kt
@@ -125,7 +125,7 @@
 
     private suspend fun reportZone() {
         val report = progress.report(clock.nowMillis())
-        inForce.offer(InForceStatus(tree.zone, self.value, tree.size, report))
+        inForce.writeIfDue(InForceStatus(tree.zone, self.value, tree.size, report))
     }
 
     private fun randomOf(peers: List<Instance>): Instance? =
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/LeaseDuty.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/LeaseDuty.kt
@@ -16,8 +16,8 @@
     /** Contends and renews until cancelled. */
     suspend fun run() {
         while (true) {
-            if (tree.isWatcher || lease.mayAct()) lease.step()
-            delay(if (lease.mayAct()) policy.renewMillis else policy.pollMillis)
+            if (tree.isWatcher || lease.isHeld()) lease.contendOrRenew()
+            delay(if (lease.isHeld()) policy.renewMillis else policy.pollMillis)
         }
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/LeaseholderPlane.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/LeaseholderPlane.kt
@@ -27,7 +27,7 @@
     private val policy = LeasePolicy()
     private val wallClock = Clock { System.currentTimeMillis() }
     private val acceptorLease = Lease(objects, "acceptor", self, clock, policy)
-    private val acceptor = DocumentAcceptor(objects, self, wallClock, acceptorLease::mayAct, onAccepted)
+    private val acceptor = DocumentAcceptor(objects, self, wallClock, acceptorLease::isHeld, onAccepted)
     private val expiry = ClaimExpiry(objects, wallClock)
 
     /** The lease under which orders are sent. */
@@ -52,7 +52,7 @@
     private suspend fun expireClaims() {
         while (true) {
             delay(EXPIRY_INTERVAL_MILLIS)
-            if (acceptorLease.mayAct()) expiry.sweep(acceptorLease::mayAct)
+            if (acceptorLease.isHeld()) expiry.sweep(acceptorLease::isHeld)
         }
     }
 
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/OrderDuty.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/OrderDuty.kt
@@ -41,7 +41,7 @@
             models = { replica -> modelsOf(replica, documents()) },
             // This instance sees only its own requests, so every model counts as in use: the last warm replica stays.
             inUse = { _, _ -> true },
-            mayAct = lease::mayAct,
+            holdsLease = lease::isHeld,
         ).run()
     }
 
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/AtMostOnceWorld.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/AtMostOnceWorld.kt
@@ -155,7 +155,7 @@
             Policy.OWN -> {
                 val registry =
                     ClaimRegistry(api, entry.id, clock, { it in live }, { "${entry.id}-${claimIds++}" }, claimPolicy)
-                entry.scope.launch { registry.runBackground() }
+                entry.scope.launch { registry.retryPendingWrites() }
                 OwnClaims(registry)
             }
         }
@@ -195,7 +195,7 @@
         const val LIST_LAG_MILLIS = 3_000L
 
         // Six instances may settle their backlog faster than 340.
-        val claimPolicy = ClaimPolicy(backlogMillis = 200)
+        val claimPolicy = ClaimPolicy(backlogDelayMillis = 200)
         const val REPLACEMENT_MILLIS = 5_000L
 
         val document =
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationNode.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationNode.kt
@@ -50,7 +50,7 @@
         }
 
     /** Whether this instance may act as the acceptor now. */
-    val isAcceptor: Boolean get() = lease.mayAct()
+    val isAcceptor: Boolean get() = lease.isHeld()
 
     private val isWatcher: Boolean get() = id in network.tree(zone).watchers
 
@@ -164,7 +164,7 @@
     private suspend fun watcherDuties() =
         coroutineScope {
             launch { lease.run() }
-            launch { DocumentAcceptor(api, id, clock, lease::mayAct) { receive(listOf(it)) }.run() }
+            launch { DocumentAcceptor(api, id, clock, lease::isHeld) { receive(listOf(it)) }.run() }
             if (policy.relays) launch { watch() }
             if (policy.repairs) launch { every(REPAIR_MILLIS) { report() } }
         }
@@ -191,7 +191,7 @@
     private suspend fun report() {
         if (network.tree(zone).root != id) return
         val expected = network.nodesOf(zone).size
-        writer.offer(InForceStatus(zone, id.value, expected, progress.report(clock.nowMillis())))
+        writer.writeIfDue(InForceStatus(zone, id.value, expected, progress.report(clock.nowMillis())))
     }
 
     private fun decode(listing: ObjectListing): List<AcceptedDocument> =
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/outage/OutageWorld.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/outage/OutageWorld.kt
@@ -45,7 +45,7 @@
     fun start() {
         val watchers = if (policy.watchesEverywhere) INSTANCES else WATCHERS
         repeat(watchers) { scope.launch { watch() } }
-        registries.forEach { scope.launch { it.runBackground() } }
+        registries.forEach { scope.launch { it.retryPendingWrites() } }
     }
 
     private suspend fun watch() {
--- a/experiment/src/test/kotlin/io/sequoiawheel/experiment/state/ClaimRegistryTest.kt
+++ b/experiment/src/test/kotlin/io/sequoiawheel/experiment/state/ClaimRegistryTest.kt
@@ -86,10 +86,10 @@
                 client.faults = StoreFaults(outage = true)
             }
             assertEquals(ResultCode.CLAIM_STORE_UNAVAILABLE, first.claim().code())
-            assertEquals(1, first.pendingCount)
+            assertEquals(1, first.pendingWriteCount)
             client.faults = StoreFaults(latencyMillis = 0)
-            first.settlePending()
-            assertEquals(0, first.pendingCount)
+            first.retryNextPendingWrite()
+            assertEquals(0, first.pendingWriteCount)
             assertInstanceOf(ClaimDecision.Granted::class.java, registry("b", store).claim())
         }
 
@@ -103,7 +103,7 @@
             val first = registry("a", client)
             assertEquals(ResultCode.CLAIM_STORE_UNAVAILABLE, first.claim().code())
             client.faults = StoreFaults(latencyMillis = 0)
-            first.settlePending()
+            first.retryNextPendingWrite()
             delay(120_000)
             assertInstanceOf(ClaimDecision.Granted::class.java, registry("b", store).claim())
         }
--- a/experiment/src/test/kotlin/io/sequoiawheel/experiment/state/LeaseTest.kt
+++ b/experiment/src/test/kotlin/io/sequoiawheel/experiment/state/LeaseTest.kt
@@ -38,7 +38,7 @@
             repeat(600) { second ->
                 if (second % 60 == 30) {
                     clients.forEach { it.faults = StoreFaults(latencyMillis = 0, lostAnswerProbability = 0.5) }
-                    leases.indexOfFirst { it.mayAct() }.takeIf { it >= 0 }?.let {
+                    leases.indexOfFirst { it.isHeld() }.takeIf { it >= 0 }?.let {
                         clients[it].faults = StoreFaults(outage = true)
                     }
                 }
@@ -58,16 +58,16 @@
             val store = store()
             val first = lease(store, "a")
             val second = lease(store, "b")
-            first.step()
-            assertTrue(first.mayAct())
+            first.contendOrRenew()
+            assertTrue(first.isHeld())
             delay(13_000)
-            assertFalse(first.mayAct())
-            first.step()
-            assertTrue(first.mayAct())
+            assertFalse(first.isHeld())
+            first.contendOrRenew()
+            assertTrue(first.isHeld())
             first.resign()
-            second.step()
+            second.contendOrRenew()
             delay(2_100)
-            second.step()
+            second.contendOrRenew()
             assertEquals(2, second.tenure?.fencing)
         }
 }
