--- a/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantView.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/grant/GrantView.kt
@@ -1,7 +1,7 @@
 package io.sequoiawheel.core.grant
 
 import io.sequoiawheel.core.membership.MembershipTable
-import io.sequoiawheel.core.membership.Rendezvous
+import io.sequoiawheel.core.membership.RendezvousHashing
 import io.sequoiawheel.core.model.InstanceId
 import io.sequoiawheel.core.model.ZoneName
 
@@ -29,7 +29,7 @@
             nowMillis: Long,
         ): InstanceId? {
             table.viewAgeMillis(nowMillis) ?: return null
-            return Rendezvous.first(replica.value, table.liveEntries(zone).map { it.id })
+            return RendezvousHashing.first(replica.value, table.liveEntries(zone).map { it.id })
         }
 
         /**
--- a/core/src/main/kotlin/io/sequoiawheel/core/history/CheckBounds.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/history/CheckBounds.kt
@@ -1,13 +1,14 @@
 package io.sequoiawheel.core.history
 
 /**
- * What "a few seconds" means in milliseconds, from the stated targets.
+ * Time limits behind "a few seconds" in the promises, in milliseconds, from the stated targets.
  *
- * @property zoneMillis time from the acceptance of a zone's take-out until no instance dispatches into it (P3)
- * @property leavingMillis time from the instance list's mark until no instance dispatches to a replica (P7)
+ * @property zoneMillis time from accepting that a zone is taken out until no instance dispatches to it (P3)
+ * @property leavingMillis time from marking a replica as leaving in the instance list until no instance dispatches to it
+ *   (P7)
  * @property inForceMillis time from acceptance until a generation is in force at every connected instance (P9)
- * @property endMillis when the observation of the run ended, null for the last event; what is not yet due by then is
- *   not decided
+ * @property endMillis end of the observation, or null for the time of the last event; a limit that ends later is not
+ *   checked
  */
 data class CheckBounds(
     val zoneMillis: Long = 14_000,
--- a/core/src/main/kotlin/io/sequoiawheel/core/history/CheckResult.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/history/CheckResult.kt
@@ -1,9 +1,9 @@
 package io.sequoiawheel.core.history
 
 /**
- * The outcome of checking one history.
+ * The result of checking one history.
  *
- * @property examined how many facts were decided for each promise; 0 means that the history says nothing about it
+ * @property examined number of facts checked for each promise; 0 means that the history contains no evidence about it
  */
 data class CheckResult(
     val violations: List<Violation>,
--- a/core/src/main/kotlin/io/sequoiawheel/core/history/HistoryEvent.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/history/HistoryEvent.kt
@@ -1,7 +1,7 @@
 /*
- * What is recorded of a concurrent run. Events come from callers, entry instances, backend servers and operators; each
- * kind says who records it, so that no part vouches for itself: a run is recorded by the backend server, a token as
- * delivered by the caller.
+ * The recorded events of a concurrent run, from callers, entry instances, backend servers and operators. Each type states
+ * who records it, so that no component is the only source for its own correctness: the backend server records a run, the
+ * caller records a delivered token.
  */
 package io.sequoiawheel.core.history
 
@@ -12,12 +12,12 @@
 import io.sequoiawheel.core.model.ZoneName
 import kotlinx.serialization.Serializable
 
-/** One event; [atMillis] is on one clock for the whole history. */
+/** One event; the [atMillis] of all events of a history come from the same clock. */
 @Serializable
 sealed interface HistoryEvent {
     val atMillis: Long
 
-    /** A caller sends a request. [key] is equal for non-idempotent calls that are the same call, else null. */
+    /** A caller sends a request. [key] identifies a non-idempotent call across its requests, else null. */
     @Serializable
     data class CallStarted(
         override val atMillis: Long,
@@ -25,7 +25,7 @@
         val key: String? = null,
     ) : HistoryEvent
 
-    /** An entry instance took a request on, from its point of view. */
+    /** An entry instance accepted a request. */
     @Serializable
     data class CallAccepted(
         override val atMillis: Long,
@@ -33,7 +33,7 @@
         val entry: InstanceId,
     ) : HistoryEvent
 
-    /** A caller has its final answer. [tokens] is the stated length of a complete generation. */
+    /** A caller received its final answer. [tokens] is the stated length of a complete generation. */
     @Serializable
     data class CallEnded(
         override val atMillis: Long,
@@ -105,7 +105,7 @@
         val outcome: String,
     ) : HistoryEvent
 
-    /** A replica exists in [zone] and can handle [concurrent] requests at once; null is no limit. */
+    /** A replica exists in [zone] and can handle [concurrent] requests at once; null means no limit. */
     @Serializable
     data class ReplicaCapacity(
         override val atMillis: Long,
@@ -129,7 +129,7 @@
         val replica: InstanceId,
     ) : HistoryEvent
 
-    /** Operators took [zone] out of [service], or returned it; the time is that of the acceptance. */
+    /** Operators took [zone] out of [service] or returned it; the time is that of the acceptance. */
     @Serializable
     data class ZoneChanged(
         override val atMillis: Long,
@@ -138,7 +138,7 @@
         val isOut: Boolean,
     ) : HistoryEvent
 
-    /** An entry instance starts to serve, or is connected again to peers or platform after an isolation. */
+    /** An entry instance starts to serve, or is connected to peers or the platform again after being isolated. */
     @Serializable
     data class EntryConnected(
         override val atMillis: Long,
@@ -167,7 +167,7 @@
         val exitCode: Int,
     ) : HistoryEvent
 
-    /** The object API holds a newly accepted generation. */
+    /** A newly accepted generation was stored in the object API. */
     @Serializable
     data class DocumentAccepted(
         override val atMillis: Long,
@@ -185,7 +185,7 @@
         val generation: Long,
     ) : HistoryEvent
 
-    /** The audit trail of a service was read at the end of the run, with the generations that it names. */
+    /** The audit trail of a service was read at the end of the run; [generations] are those that it contains. */
     @Serializable
     data class AuditRead(
         override val atMillis: Long,
--- a/core/src/main/kotlin/io/sequoiawheel/core/history/HistoryRecorder.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/history/HistoryRecorder.kt
@@ -1,6 +1,6 @@
 package io.sequoiawheel.core.history
 
-/** Collects events from many coroutines, in the order of the calls of [record]. Thread-safe. */
+/** Collects events from concurrent coroutines, in the order of the calls to [record]. Thread-safe. */
 class HistoryRecorder {
     private val events = ArrayList<HistoryEvent>()
 
@@ -10,7 +10,7 @@
         events += event
     }
 
-    /** Returns the events so far. */
+    /** Returns a copy of the events recorded so far. */
     @Synchronized
     fun snapshot(): List<HistoryEvent> = ArrayList(events)
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/history/Promise.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/history/Promise.kt
@@ -1,6 +1,6 @@
 package io.sequoiawheel.core.history
 
-/** What the system promises; [meaning] is one sentence for reports. */
+/** The guarantees of the system; [meaning] is one sentence for reports. */
 enum class Promise(
     val meaning: String,
 ) {
--- a/core/src/main/kotlin/io/sequoiawheel/core/history/Violation.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/history/Violation.kt
@@ -1,6 +1,6 @@
 package io.sequoiawheel.core.history
 
-/** A broken promise, with what happened in plain English. */
+/** A violation of [promise]; [detail] describes what happened. */
 data class Violation(
     val promise: Promise,
     val detail: String,
--- a/core/src/main/kotlin/io/sequoiawheel/core/history/internal/ConfigurationCheck.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/history/internal/ConfigurationCheck.kt
@@ -6,33 +6,33 @@
 import io.sequoiawheel.core.model.InstanceId
 import io.sequoiawheel.core.model.ServiceName
 
-/** P9: accepted generations spread in time, never revert and leave an audit entry. */
+/** Checks P9: accepted generations are in force within the time limit, never revert and have an audit entry. */
 internal class ConfigurationCheck(
     private val events: List<HistoryEvent>,
     private val bounds: CheckBounds,
-    private val verdicts: Verdicts,
+    private val findings: FindingCollector,
 ) {
     private class Entry(
         var connectedSince: Long?,
         val generations: MutableMap<ServiceName, Long> = HashMap(),
     )
 
-    /** From [from] on, [only] or every instance has the bound's time to reach [generation]. */
-    private class Due(
+    /** Requires [onlyEntry], or every instance if null, to reach [generation] in time, counted from [sinceMillis]. */
+    private class Expectation(
         val service: ServiceName,
         val generation: Long,
-        val from: Long,
-        val only: InstanceId? = null,
+        val sinceMillis: Long,
+        val onlyEntry: InstanceId? = null,
     )
 
     private val endMillis = bounds.endMillis ?: events.lastOrNull()?.atMillis ?: 0
     private val entries = LinkedHashMap<InstanceId, Entry>()
     private val accepted = HashMap<ServiceName, MutableMap<Long, HistoryEvent.DocumentAccepted>>()
-    private val due = ArrayDeque<Due>()
+    private val expectations = ArrayDeque<Expectation>()
 
     fun run() {
         for (event in events) {
-            checkDue(event.atMillis)
+            checkExpectations(event.atMillis)
             when (event) {
                 is HistoryEvent.EntryConnected -> connect(event)
                 is HistoryEvent.EntryDisconnected -> entries[event.entry]?.connectedSince = null
@@ -43,51 +43,51 @@
                 else -> Unit
             }
         }
-        checkDue(Long.MAX_VALUE)
+        checkExpectations(Long.MAX_VALUE)
     }
 
     private fun connect(event: HistoryEvent.EntryConnected) {
         entries.getOrPut(event.entry) { Entry(null) }.connectedSince = event.atMillis
         accepted.forEach { (service, generations) ->
-            due.addLast(Due(service, generations.keys.max(), event.atMillis, event.entry))
+            expectations.addLast(Expectation(service, generations.keys.max(), event.atMillis, event.entry))
         }
     }
 
     private fun accept(event: HistoryEvent.DocumentAccepted) {
         val generations = accepted.getOrPut(event.service) { sortedMapOf() }
         val highest = generations.keys.maxOrNull() ?: 0
-        verdicts.decide(Promise.P9, event.generation == highest + 1) {
+        findings.record(Promise.P9, event.generation == highest + 1) {
             "${event.service} went from accepted generation $highest to ${event.generation}"
         }
         val highestVersion = generations[highest]?.documentVersion ?: 0
-        verdicts.decide(Promise.P9, event.documentVersion > highestVersion) {
+        findings.record(Promise.P9, event.documentVersion > highestVersion) {
             "${event.service} accepted document version ${event.documentVersion} after $highestVersion"
         }
         generations[event.generation] = event
-        due.addLast(Due(event.service, event.generation, event.atMillis))
+        expectations.addLast(Expectation(event.service, event.generation, event.atMillis))
     }
 
     private fun apply(event: HistoryEvent.DocumentApplied) {
         val entry = entries.getOrPut(event.entry) { Entry(null) }
         val before = entry.generations[event.service] ?: 0
-        verdicts.decide(Promise.P9, event.generation > before) {
-            "${event.entry} went back from generation $before to ${event.generation} of ${event.service}"
+        findings.record(Promise.P9, event.generation > before) {
+            "${event.entry} reverted from generation $before to ${event.generation} of ${event.service}"
         }
-        verdicts.decide(Promise.P9, accepted[event.service]?.containsKey(event.generation) == true) {
+        findings.record(Promise.P9, accepted[event.service]?.containsKey(event.generation) == true) {
             "${event.entry} applied generation ${event.generation} of ${event.service}, which was not accepted"
         }
         entry.generations[event.service] = event.generation
     }
 
-    /** Decides the generations whose time to spread ended before [now]. */
-    private fun checkDue(now: Long) {
-        while (due.isNotEmpty()) {
-            val next = due.first()
-            val deadline = next.from + bounds.inForceMillis
+    /** Checks the expectations whose time limit ended before [now]. */
+    private fun checkExpectations(now: Long) {
+        while (expectations.isNotEmpty()) {
+            val next = expectations.first()
+            val deadline = next.sinceMillis + bounds.inForceMillis
             if (deadline >= now || deadline > endMillis) return
-            due.removeFirst()
+            expectations.removeFirst()
             entries
-                .filterKeys { next.only == null || it == next.only }
+                .filterKeys { next.onlyEntry == null || it == next.onlyEntry }
                 .forEach { (name, entry) -> checkInForce(name, entry, next, deadline) }
         }
     }
@@ -95,15 +95,15 @@
     private fun checkInForce(
         name: InstanceId,
         entry: Entry,
-        next: Due,
+        next: Expectation,
         deadline: Long,
     ) {
-        // An instance that connected since then has its own time, counted from its connection.
-        val since = entry.connectedSince ?: return
-        if (since > next.from) return
+        // An instance that connected later has its own time limit, counted from its connection.
+        val connectedSince = entry.connectedSince ?: return
+        if (connectedSince > next.sinceMillis) return
         val generation = entry.generations[next.service] ?: 0
-        verdicts.decide(Promise.P9, generation >= next.generation) {
-            "$name had generation $generation of ${next.service} at $deadline ms, when ${next.generation} was due"
+        findings.record(Promise.P9, generation >= next.generation) {
+            "$name had generation $generation of ${next.service} at $deadline ms, but ${next.generation} was expected"
         }
     }
 
@@ -113,13 +113,13 @@
                 .orEmpty()
                 .keys
                 .sorted()
-                .takeLast(MAXIMUM_AUDIT) - event.generations.toSet()
-        verdicts.decide(Promise.P9, missing.isEmpty()) {
+                .takeLast(MAXIMUM_AUDIT_ENTRIES) - event.generations.toSet()
+        findings.record(Promise.P9, missing.isEmpty()) {
             "the audit trail of ${event.service} lacks the accepted generations ${missing.joinToString()}"
         }
     }
 
     private companion object {
-        const val MAXIMUM_AUDIT = 50
+        const val MAXIMUM_AUDIT_ENTRIES = 50
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/history/internal/Verdicts.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/history/internal/FindingCollector.kt
@@ -4,13 +4,13 @@
 import io.sequoiawheel.core.history.Promise
 import io.sequoiawheel.core.history.Violation
 
-/** Collects what the checks decide. */
-internal class Verdicts {
+/** Collects the violations found by the checks and counts the checked facts. */
+internal class FindingCollector {
     private val violations = mutableListOf<Violation>()
     private val examined = Promise.entries.associateWithTo(linkedMapOf()) { 0 }
 
-    /** Counts one fact about [promise], and a violation unless [holds]. */
-    fun decide(
+    /** Counts one checked fact of [promise], and adds a violation unless [holds]. */
+    fun record(
         promise: Promise,
         holds: Boolean,
         detail: () -> String,
--- a/core/src/main/kotlin/io/sequoiawheel/core/history/internal/StreamCheck.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/history/internal/StreamCheck.kt
@@ -4,14 +4,14 @@
 import io.sequoiawheel.core.history.Promise
 import io.sequoiawheel.core.model.RequestId
 
-/** P1, and the part of P4 that concerns complete generations. */
+/** Checks P1, and P4 for complete generations. */
 internal class StreamCheck(
     private val events: List<HistoryEvent>,
-    private val verdicts: Verdicts,
+    private val findings: FindingCollector,
 ) {
     private class Stream(
         var run: String? = null,
-        var next: Int = 0,
+        var nextOffset: Int = 0,
     )
 
     private val produced =
@@ -21,34 +21,34 @@
     fun run() {
         for (event in events) {
             when (event) {
-                is HistoryEvent.TokenDelivered -> token(event)
-                is HistoryEvent.CallEnded -> event.tokens?.let { end(event, it) }
+                is HistoryEvent.TokenDelivered -> checkToken(event)
+                is HistoryEvent.CallEnded -> event.tokens?.let { checkEnd(event, it) }
                 else -> Unit
             }
         }
     }
 
-    private fun token(event: HistoryEvent.TokenDelivered) {
+    private fun checkToken(event: HistoryEvent.TokenDelivered) {
         val stream = streams.getOrPut(event.request) { Stream() }
         val run = stream.run ?: event.run.also { stream.run = it }
-        verdicts.decide(Promise.P1, event.run == run) {
+        findings.record(Promise.P1, event.run == run) {
             "request ${event.request} received token ${event.offset} of ${event.run} after tokens of $run"
         }
-        verdicts.decide(Promise.P1, event.offset == stream.next) {
-            "request ${event.request} received token ${event.offset} where ${stream.next} was due"
+        findings.record(Promise.P1, event.offset == stream.nextOffset) {
+            "request ${event.request} received token ${event.offset} but ${stream.nextOffset} was expected"
         }
-        verdicts.decide(Promise.P1, produced[event.run to event.offset] == event.text) {
+        findings.record(Promise.P1, produced[event.run to event.offset] == event.text) {
             "request ${event.request} received text at ${event.offset} that ${event.run} did not produce there"
         }
-        stream.next = maxOf(stream.next, event.offset + 1)
+        stream.nextOffset = maxOf(stream.nextOffset, event.offset + 1)
     }
 
-    private fun end(
+    private fun checkEnd(
         event: HistoryEvent.CallEnded,
         tokens: Int,
     ) {
-        val delivered = streams[event.request]?.next ?: 0
-        verdicts.decide(Promise.P4, delivered == tokens) {
+        val delivered = streams[event.request]?.nextOffset ?: 0
+        findings.record(Promise.P4, delivered == tokens) {
             "request ${event.request} ended with ${event.code.name} and $tokens tokens, but $delivered were delivered"
         }
     }
--- a/core/src/main/kotlin/io/sequoiawheel/core/membership/MembershipUpdate.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/membership/MembershipUpdate.kt
@@ -5,10 +5,10 @@
 import kotlinx.collections.immutable.ImmutableList
 
 /**
- * The instance list as one watcher saw it.
+ * The instance list as read by one watcher.
  *
  * @property watcher the entry instance that polled the list
- * @property sequence rises with each change that this watcher sees
+ * @property sequence increases with each change that this watcher reads
  */
 data class MembershipUpdate(
     val watcher: InstanceId,
--- a/core/src/main/kotlin/io/sequoiawheel/core/membership/Rendezvous.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/membership/RendezvousHashing.kt
@@ -1,6 +1,6 @@
 /*
  * Rendezvous hashing: every instance computes the same order for a key from the same list, and losing one instance
- * moves only the keys that it held.
+ * moves only the keys that were assigned to it.
  */
 package io.sequoiawheel.core.membership
 
@@ -8,7 +8,7 @@
 import org.apache.commons.codec.digest.MurmurHash3
 
 /** Orders instances for a key by the hash of key and instance. */
-object Rendezvous {
+object RendezvousHashing {
     /** Returns [instances] with the highest weight for [key] first. */
     fun order(
         key: String,
@@ -21,7 +21,7 @@
         instances: Collection<InstanceId>,
     ): InstanceId? = instances.minWithOrNull(comparator(key))
 
-    /** Returns the first [count] of [order]: a deterministic subset that hardly changes when an instance does. */
+    /** Returns the first [count] of [order]. Adding or removing one instance changes at most one member of it. */
     fun subset(
         key: String,
         instances: Collection<InstanceId>,
@@ -33,7 +33,7 @@
         return compareByDescending<InstanceId> { weights.getOrPut(it) { weight(key, it) } }.thenBy { it.value }
     }
 
-    // The length prefix separates the parts: ("a", "bc") and ("ab", "c") are different inputs.
+    // The length prefix makes ("a", "bc") and ("ab", "c") different inputs.
     private fun weight(
         key: String,
         instance: InstanceId,
--- a/core/src/main/kotlin/io/sequoiawheel/core/model/DocumentCodec.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/model/DocumentCodec.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.Json
 
-/** Reads and writes service documents as strict JSON: unknown and duplicate meanings are errors, defaults are kept. */
+/** Reads and writes service documents as strict JSON: unknown fields are errors, and defaults are written out. */
 object DocumentCodec {
     private val json =
         Json {
@@ -14,15 +14,15 @@
             encodeDefaults = true
         }
 
-    /** Returns the document in [text] if it parses and [DocumentValidator] finds nothing, else the faults. */
+    /** Returns the document in [text] if it parses and [DocumentValidator] finds no faults, else the faults. */
     fun decode(text: String): Either<List<DocumentFault>, ServiceDocument> {
         val document =
             try {
                 json.decodeFromString(ServiceDocument.serializer(), text)
             } catch (error: SerializationException) {
-                return listOf(DocumentFault.parsing(error)).left()
+                return listOf(DocumentFault.ofParseError(error)).left()
             } catch (error: IllegalArgumentException) {
-                return listOf(DocumentFault.parsing(error)).left()
+                return listOf(DocumentFault.ofParseError(error)).left()
             }
         val faults = DocumentValidator.validate(document)
         return if (faults.isEmpty()) document.right() else faults.left()
--- a/core/src/main/kotlin/io/sequoiawheel/core/model/DocumentFault.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/model/DocumentFault.kt
@@ -16,8 +16,8 @@
     companion object {
         private val pathPattern = Regex("""at path:? (\$[^\s:]*)""")
 
-        /** Returns the fault for a text that does not parse. */
-        fun parsing(error: Exception): DocumentFault {
+        /** Returns the fault for a text that failed to parse with [error]. */
+        fun ofParseError(error: Exception): DocumentFault {
             val message = error.message.orEmpty()
             val path = pathPattern.find(message)?.groupValues?.get(1) ?: "$"
             return DocumentFault(path, message.lineSequence().first())
--- a/core/src/main/kotlin/io/sequoiawheel/core/model/DocumentValidator.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/model/DocumentValidator.kt
@@ -1,10 +1,10 @@
 package io.sequoiawheel.core.model
 
-/** Checks what the types of [ServiceDocument] cannot express. */
+/** Checks the constraints that the types of [ServiceDocument] cannot express. */
 object DocumentValidator {
     private val namePattern = Regex("[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?")
     private const val MAXIMUM_DURATION_MILLIS = 31_536_000_000L
-    private const val MAXIMUM_QUEUE = 1_000_000
+    private const val MAXIMUM_QUEUE_LENGTH = 1_000_000
     private const val MAXIMUM_WEIGHT = 1_000_000
     private const val MAXIMUM_ATTEMPTS = 10
 
@@ -22,7 +22,7 @@
 
     private fun FaultCollector.checkIdentity(document: ServiceDocument) {
         require(namePattern.matches(document.service.value), "$.service") { "must match ${namePattern.pattern}" }
-        require(document.author.isNotBlank(), "$.author") { "must name who makes the change" }
+        require(document.author.isNotBlank(), "$.author") { "must name the author of the change" }
     }
 
     private fun FaultCollector.checkModels(document: ServiceDocument) {
@@ -64,7 +64,9 @@
             "must be 1 to $MAXIMUM_ATTEMPTS"
         }
         val queue = document.queue
-        require(queue.maximumRequests in 1..MAXIMUM_QUEUE, "$.queue.maximumRequests") { "must be 1 to $MAXIMUM_QUEUE" }
+        require(queue.maximumRequests in 1..MAXIMUM_QUEUE_LENGTH, "$.queue.maximumRequests") {
+            "must be 1 to $MAXIMUM_QUEUE_LENGTH"
+        }
         require(queue.maximumRequestsPerWorkspace in 1..queue.maximumRequests, "$.queue.maximumRequestsPerWorkspace") {
             "must be 1 to maximumRequests"
         }
@@ -106,18 +108,18 @@
     private fun FaultCollector.requireUnique(
         names: List<String>,
         path: String,
-        what: String,
-    ) = require(names.distinct().size == names.size, path) { "names a $what twice" }
+        description: String,
+    ) = require(names.distinct().size == names.size, path) { "contains a duplicate $description" }
 
     private class FaultCollector {
         val faults = mutableListOf<DocumentFault>()
 
         fun require(
-            holds: Boolean,
+            isValid: Boolean,
             path: String,
             problem: () -> String,
         ) {
-            if (!holds) faults += DocumentFault(path, problem())
+            if (!isValid) faults += DocumentFault(path, problem())
         }
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/model/Failure.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/model/Failure.kt
@@ -1,10 +1,10 @@
 package io.sequoiawheel.core.model
 
 /**
- * A failed or refused operation.
+ * A failed or rejected operation.
  *
- * @property detail one sentence in plain English, without secrets of other workspaces
- * @property retryAfterMillis when the caller should come back, in milliseconds, if known
+ * @property detail one sentence for the caller, without secrets of other workspaces
+ * @property retryAfterMillis time in milliseconds after which the caller should retry, or null if unknown
  */
 data class Failure(
     val code: ResultCode,
--- a/core/src/main/kotlin/io/sequoiawheel/core/model/Identifiers.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/model/Identifiers.kt
@@ -1,6 +1,6 @@
 /*
- * Identifiers that travel between processes. They are value classes, so that a workspace can never be passed where a
- * replica is expected, and serialize as plain strings.
+ * Identifiers exchanged between processes. They are value classes, so that a workspace cannot be passed where a replica is
+ * expected, and they serialize as plain strings.
  */
 package io.sequoiawheel.core.model
 
@@ -15,7 +15,7 @@
     override fun toString(): String = value
 }
 
-/** The name of a workspace, which is one customer's space. */
+/** The name of a workspace (a customer's space). */
 @Serializable
 @JvmInline
 value class WorkspaceName(
@@ -24,7 +24,7 @@
     override fun toString(): String = value
 }
 
-/** The identity of one instance, entry instance or backend server, for one incarnation of its process. */
+/** The id of an entry instance or backend server; each start of the process has a new one. */
 @Serializable
 @JvmInline
 value class InstanceId(
@@ -42,7 +42,7 @@
     override fun toString(): String = value
 }
 
-/** The identity of one caller's request. */
+/** The id of one request of a caller. */
 @Serializable
 @JvmInline
 value class RequestId(
--- a/core/src/main/kotlin/io/sequoiawheel/core/model/Instance.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/model/Instance.kt
@@ -7,7 +7,7 @@
  * One entry of the platform's instance list.
  *
  * @property service the service that a backend server belongs to; null for entry instances
- * @property address `host:port` of the HTTP interface, host being an IP number
+ * @property address `host:port` of the HTTP interface, where host is an IP address
  * @property peerAddress `host:port` of the gRPC interface between entry instances; null for backend servers
  */
 @Serializable
@@ -21,7 +21,7 @@
     val peerAddress: String? = null,
     val state: State = State.LIVE,
 ) {
-    /** What runs on the instance. */
+    /** The kind of process that runs on the instance. */
     @Serializable
     enum class Role {
         @SerialName("entry")
--- a/core/src/main/kotlin/io/sequoiawheel/core/model/LoadReport.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/model/LoadReport.kt
@@ -3,13 +3,13 @@
 import kotlinx.serialization.Serializable
 
 /**
- * What a backend server says about its own load. The report is a lagging sample: work sent since [ageMillis] before
- * its arrival is not in it. Plain services leave the token fields at zero.
+ * The load of a backend server as reported by itself. The report is a delayed sample: work sent later than [ageMillis]
+ * before its arrival is not included. Plain services leave the token fields at zero.
  *
  * @property startId changes each time the process starts
- * @property cold whether the server itself considers its weights or caches cold
- * @property memoryTokens tokens that the key-value memory holds now
- * @property memoryCapacityTokens tokens that the key-value memory can hold
+ * @property cold whether the server considers its own weights or caches cold
+ * @property memoryTokens tokens currently in the key-value cache
+ * @property memoryCapacityTokens capacity of the key-value cache in tokens
  * @property running requests in the current batch, or calls being handled
  * @property waiting requests that the server queues internally, including preempted ones
  * @property preemptions preemptions since the process started
--- a/core/src/main/kotlin/io/sequoiawheel/core/model/ResultCode.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/model/ResultCode.kt
@@ -1,17 +1,17 @@
 /*
- * The numbered outcomes of the system. One number means the same in HTTP bodies, server-sent error events,
+ * The numbered result codes of the system. A number has the same meaning in HTTP bodies, server-sent error events,
  * logs, metrics and the command line. Numbers are never reused; docs/result-codes.md is generated from this type.
  *
- * 1xxx success, 2xxx the request cannot be served as it is, 3xxx refused before anything ran,
+ * 1xxx success, 2xxx the request is invalid or cannot be served as sent, 3xxx rejected before anything ran,
  * 4xxx failed after dispatch, 5xxx configuration and control, 6xxx local program errors.
  */
 package io.sequoiawheel.core.model
 
 /**
- * One numbered outcome.
+ * One result code.
  *
  * @property number the stable number that callers and operators see
- * @property work whether the work ran; [WorkState.NOT_RUN] is used only where that is provable
+ * @property work whether the work ran; [WorkState.NOT_RUN] is used only if it is certain
  * @property httpStatus the HTTP status of a response that has not started yet
  * @property exitCode the exit code of the command line
  * @property meaning one sentence for the table of result codes
--- a/core/src/main/kotlin/io/sequoiawheel/core/model/ServiceDocument.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/model/ServiceDocument.kt
@@ -1,6 +1,7 @@
 /*
- * The document by which the owning team describes one service. It is stored as JSON in the object API; unknown fields
- * are rejected, so that a misspelt limit never passes for an absent one. docs/service-document.md is its reference.
+ * The document in which the owning team configures one service. It is stored as JSON in the object API. Unknown fields
+ * are rejected, so that a misspelt limit does not silently fall back to its default. docs/service-document.md is its
+ * reference.
  */
 package io.sequoiawheel.core.model
 
@@ -8,13 +9,13 @@
 import kotlinx.serialization.Serializable
 
 /**
- * One service.
+ * The configuration of one service.
  *
  * @property author who made this change, for the audit trail
- * @property zonesOut availability zones that operators have taken out; they receive no new work
- * @property resumeWindowMillis how long an engine keeps a generation whose caller is gone
- * @property claimRetentionMillis how long the outcome of a non-idempotent call can be asked for by key
- * @property deleted whether this document ends the service
+ * @property zonesOut availability zones that operators have taken out of service; they receive no new work
+ * @property resumeWindowMillis how long an engine keeps a generation after its caller disconnected
+ * @property claimRetentionMillis how long the outcome of a non-idempotent call can be queried by key
+ * @property deleted whether this document deletes the service
  */
 @Serializable
 data class ServiceDocument(
@@ -36,7 +37,7 @@
     val claimRetentionMillis: Long = 2_592_000_000,
     val deleted: Boolean = false,
 ) {
-    /** What the service's backend servers are. */
+    /** The kind of backend servers that the service has. */
     @Serializable
     enum class Kind {
         @SerialName("modelEngine")
@@ -46,7 +47,7 @@
         PLAIN_SERVICE,
     }
 
-    /** Whether the backend servers refuse an order with an old fencing number. */
+    /** Whether the backend servers reject an order with an old fencing number. */
     @Serializable
     enum class Fencing {
         @SerialName("checked")
@@ -56,7 +57,7 @@
         IGNORED,
     }
 
-    /** How a generation is delivered when the request does not say it. */
+    /** How a generation is delivered if the request does not specify it. */
     @Serializable
     enum class Delivery {
         @SerialName("stream")
@@ -66,7 +67,7 @@
         WHOLE,
     }
 
-    /** A model with its version and adapters, and how many warm replicas must keep it. */
+    /** A model with its version and adapters, and the minimum number of replicas that keep it warm. */
     @Serializable
     data class Model(
         val name: String,
@@ -91,14 +92,14 @@
         val hedgeAfterMillis: Long? = null,
     )
 
-    /** Time limits for generations, in milliseconds. A caller may ask for less, never for more. */
+    /** Time limits for generations, in milliseconds. A caller may request shorter limits, but not longer ones. */
     @Serializable
     data class Deadlines(
         val firstTokenMillis: Long = 60_000,
         val totalMillis: Long = 3_600_000,
     )
 
-    /** Retries as a share of first attempts, with a floor per second. */
+    /** Limits retries to a ratio of first attempts, with a minimum per second that is always allowed. */
     @Serializable
     data class RetryPolicy(
         val ratio: Double = 0.1,
@@ -106,7 +107,7 @@
         val maximumAttempts: Int = 3,
     )
 
-    /** Bounds of the queue that each entry instance keeps for the service. */
+    /** Limits of the queue that each entry instance keeps for the service. */
     @Serializable
     data class QueuePolicy(
         val maximumRequests: Int = 1_000,
@@ -114,7 +115,7 @@
         val maximumWaitMillis: Long = 30_000,
     )
 
-    /** The policy of workspaces that are not named, and the named exceptions. */
+    /** The policies of named workspaces, and the default policy of all others. */
     @Serializable
     data class WorkspacePolicies(
         val default: WorkspacePolicy = WorkspacePolicy(),
@@ -129,8 +130,8 @@
      * Share and limits of one workspace.
      *
      * @property weight share of the service relative to other workspaces
-     * @property maximumConcurrent requests in progress at one entry instance
-     * @property priority handed to the engines; higher values are served first
+     * @property maximumConcurrent maximum number of requests in progress at one entry instance
+     * @property priority passed to the engines; higher values are served first
      */
     @Serializable
     data class WorkspacePolicy(
@@ -139,7 +140,7 @@
         val priority: Int = 0,
     )
 
-    /** How much a backend server that just started may receive, over all entry instances together. */
+    /** Limits the concurrent requests to a backend server that just started, over all entry instances together. */
     @Serializable
     data class ColdStartPolicy(
         val initialConcurrent: Int = 1,
@@ -147,7 +148,7 @@
         val growthFactor: Double = 2.0,
     )
 
-    /** The role that a replica should have. */
+    /** Assigns a role to a replica. */
     @Serializable
     data class RoleAssignment(
         val replica: InstanceId,
--- a/core/src/main/kotlin/io/sequoiawheel/core/order/EngineOrders.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/order/EngineOrders.kt
@@ -4,9 +4,9 @@
 import io.sequoiawheel.core.model.Failure
 import io.sequoiawheel.core.model.Instance
 
-/** Access to the orders of model engines. */
+/** Sends orders to model engines and reads the orders that they hold. */
 interface EngineOrders {
-    /** Sends [order] with [fencing]; `ORDER_FENCED` if the engine saw a newer number, `CONNECT_FAILED` or other. */
+    /** Sends [order]. Failures: `ORDER_FENCED` if the engine saw a number above [fencing], `CONNECT_FAILED` or others. */
     suspend fun put(
         replica: Instance,
         order: Order,
@@ -18,7 +18,7 @@
 }
 
 /**
- * A desired state, never a change: sending it twice has the effect of sending it once.
+ * A desired state of one target. Orders are idempotent: sending one twice has the same effect as sending it once.
  *
  * @property target `model/<name>`, `adapter/<name>`, `version/<model>` or `role`
  * @property desired `loaded` or `unloaded` for models and adapters, else the version or role
@@ -28,10 +28,10 @@
     val desired: String,
 ) {
     companion object {
-        /** Desired state of a model or adapter that is to be in memory. */
+        /** Desired state of a model or adapter that must be in memory. */
         const val LOADED = "loaded"
 
-        /** Desired state of a model or adapter that is to leave memory. */
+        /** Desired state of a model or adapter that must be removed from memory. */
         const val UNLOADED = "unloaded"
 
         /** The target that sets a replica's role. */
@@ -48,7 +48,7 @@
     }
 }
 
-/** An order as an engine holds it; [isInEffect] tells whether the engine has reached the desired state. */
+/** An order held by an engine; [isInEffect] is true once the engine has reached the desired state. */
 data class HeldOrder(
     val order: Order,
     val fencing: Long,
--- a/core/src/main/kotlin/io/sequoiawheel/core/order/OrderController.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/order/OrderController.kt
@@ -8,16 +8,16 @@
 /**
  * Reconciles the replicas of services with their documents while this instance holds the lease.
  *
- * @param documents the services in force now
- * @param replicas the replicas of a service as the membership knows them
- * @param models the models that a replica's load report names, or null if it cannot be read
+ * @param documents the service documents in force
+ * @param replicas the replicas of a service, from the membership table
+ * @param models the models in the load report of a replica, or null if the report cannot be read
  * @param inUse whether requests for a model of a service arrived recently
  * @param holdsLease whether this instance holds the lease now
  */
 class OrderController(
     private val engines: EngineOrders,
     private val issuer: OrderIssuer,
-    private val weights: WeightBudget,
+    private val loadLimiter: WeightLoadLimiter,
     private val weightStore: WeightStore,
     private val documents: () -> List<ServiceDocument>,
     private val replicas: (ServiceDocument) -> List<Instance>,
@@ -39,11 +39,11 @@
         }
     }
 
-    /** Makes one pass over the replicas of [document]; returns how many orders were confirmed. */
+    /** Runs one pass over the replicas of [document]; returns the number of confirmed orders. */
     suspend fun reconcile(document: ServiceDocument): Int {
         val known = replicas(document)
         val reachable = known.mapNotNull { read(it) }
-        // A replica that cannot be read does not count as warm, so it never justifies unloading another one.
+        // A replica whose state cannot be read does not count as warm, so no other replica is unloaded because of it.
         val steps = OrderPlanner.plan(document, reachable) { inUse(document, it) }
         return steps.count { step -> holdsLease() && perform(step, document) }
     }
@@ -58,7 +58,7 @@
         document: ServiceDocument,
     ): Boolean {
         if (step.needsWeights) {
-            if (weights.take() > 0) return false
+            if (loadLimiter.tryAcquire() > 0) return false
             if (weightStore.requestLoad(step.order.target).isLeft()) return false
         }
         return issuer.issue(step.replica, step.order, document.fencing).isRight()
--- a/core/src/main/kotlin/io/sequoiawheel/core/order/OrderIssuer.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/order/OrderIssuer.kt
@@ -12,11 +12,11 @@
 import io.sequoiawheel.core.model.ServiceDocument
 
 /**
- * Sends orders under a lease and confirms them by read-back.
+ * Sends orders while the lease is held and confirms each by reading it back from the engine.
  *
- * @param tenure the tenure in which this instance may act now, or null
- * @param termMillis term of the lease; for engines that ignore fencing numbers, a new holder waits this long before
- *   its first order, so that the orders that an earlier holder sent before it was paused have arrived
+ * @param tenure the current tenure of this instance, or null if it does not hold the lease
+ * @param termMillis term of the lease. With engines that ignore fencing numbers, a new holder waits this long before its
+ *   first order, so that orders sent by an earlier holder before it was paused have arrived
  */
 class OrderIssuer(
     private val engines: EngineOrders,
@@ -25,21 +25,25 @@
     private val termMillis: Long,
 ) {
     /**
-     * Brings [replica] to [order]. Failures: `LEASE_LOST` (nothing was sent; with a time to come back while waiting
-     * for the extra term), `ORDER_FENCED`, or `ORDER_UNCONFIRMED` if the engine does not show the order afterwards.
+     * Sends [order] to [replica] and confirms it. Failures: `LEASE_LOST` if nothing was sent (with a retry time during
+     * the initial wait), `ORDER_FENCED`, or `ORDER_UNCONFIRMED` if the engine does not report the order afterwards.
      */
     suspend fun issue(
         replica: Instance,
         order: Order,
         fencing: ServiceDocument.Fencing,
     ): Either<Failure, HeldOrder> {
-        val held = tenure() ?: return Failure(ResultCode.LEASE_LOST).left()
+        val currentTenure = tenure() ?: return Failure(ResultCode.LEASE_LOST).left()
         if (fencing == ServiceDocument.Fencing.IGNORED) {
-            val wait = held.acquiredAt + termMillis - clock.nowMillis()
-            if (wait > 0) return Failure(ResultCode.LEASE_LOST, "waiting one term", wait).left()
+            val remainingMillis = currentTenure.acquiredAt + termMillis - clock.nowMillis()
+            if (remainingMillis >
+                0
+            ) {
+                return Failure(ResultCode.LEASE_LOST, "waiting for one lease term", remainingMillis).left()
+            }
         }
-        val sent = engines.put(replica, order, held.fencing)
-        sent.leftOrNull()?.takeIf { it.code == ResultCode.ORDER_FENCED }?.let { return it.left() }
+        val putResult = engines.put(replica, order, currentTenure.fencing)
+        putResult.leftOrNull()?.takeIf { it.code == ResultCode.ORDER_FENCED }?.let { return it.left() }
         return engines.read(replica).mapLeft { Failure(ResultCode.ORDER_UNCONFIRMED, it.detail) }.flatMap { orders ->
             orders.firstOrNull { it.order == order }?.right()
                 ?: Failure(ResultCode.ORDER_UNCONFIRMED, "${replica.id} does not hold ${order.target}").left()
--- a/core/src/main/kotlin/io/sequoiawheel/core/platform/InstanceList.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/platform/InstanceList.kt
@@ -5,7 +5,7 @@
 import io.sequoiawheel.core.model.Instance
 import kotlinx.collections.immutable.ImmutableList
 
-/** The platform's list of live and leaving instances, which lags behind reality. */
+/** The platform's list of live and leaving instances, which lags behind the actual state. */
 fun interface InstanceList {
     /** Returns the list, or `PLATFORM_UNAVAILABLE`. */
     suspend fun read(): Either<Failure, ImmutableList<Instance>>
--- a/core/src/main/kotlin/io/sequoiawheel/core/platform/ObjectApi.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/platform/ObjectApi.kt
@@ -1,6 +1,6 @@
 /*
- * The platform as the decisions see it. Implementations reach it over HTTP, or hold everything in memory for tests and
- * experiments. Every call can fail, be slow, or lose its answer after the write has taken effect.
+ * The interface to the platform's object API. Implementations call it over HTTP, or keep all objects in memory for tests
+ * and experiments. Every call can fail, be slow, or lose its response after the write has taken effect.
  */
 package io.sequoiawheel.core.platform
 
@@ -9,7 +9,7 @@
 import kotlinx.collections.immutable.ImmutableList
 
 /**
- * The versioned objects of the platform. Each call counts against the platform's budget, a waiting watch as one.
+ * Stores versioned objects. Each call counts against the platform's call budget; a waiting watch counts as one call.
  *
  * Failures: `PLATFORM_UNAVAILABLE` if there was no answer, in which case a write may have taken effect;
  * `DOCUMENT_CONFLICT` if the expected version did not match; `OBJECT_NOT_FOUND` if a read finds nothing.
@@ -22,7 +22,7 @@
     suspend fun list(kind: ObjectKind): Either<Failure, ObjectListing>
 
     /**
-     * Writes [value] if the object's version equals [expectedVersion], 0 meaning that it does not exist.
+     * Writes [value] if the object's version equals [expectedVersion]; 0 requires that the object does not exist.
      * Returns the new version.
      */
     suspend fun put(
@@ -37,7 +37,7 @@
         expectedVersion: Long,
     ): Either<Failure, Unit>
 
-    /** Waits up to [waitMillis] for changes of [kind] after [revision]; an empty listing means that none came. */
+    /** Waits up to [waitMillis] for changes of [kind] after [revision]; an empty listing means that there were none. */
     suspend fun watch(
         kind: ObjectKind,
         revision: Long,
@@ -64,14 +64,14 @@
     val name: String,
 )
 
-/** An object as read: [version] rises by each write of this object, [value] is its JSON text of at most 1 MB. */
+/** An object as read: [version] increases with each write of this object, [value] is its JSON text of at most 1 MB. */
 data class StoredObject(
     val key: ObjectKey,
     val version: Long,
     val value: String,
 )
 
-/** Objects of one kind and the revision of the store up to which they are complete. */
+/** Objects of one kind, complete up to [revision] of the store. */
 data class ObjectListing(
     val revision: Long,
     val objects: ImmutableList<StoredObject>,
--- a/core/src/main/kotlin/io/sequoiawheel/core/platform/WeightStore.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/platform/WeightStore.kt
@@ -5,6 +5,6 @@
 
 /** The rate-limited store of model weights. */
 fun interface WeightStore {
-    /** Asks for permission to load [weight]; `WEIGHT_RATE_EXCEEDED` carries when to come back. */
+    /** Requests permission to load [weight]; `WEIGHT_RATE_EXCEEDED` includes the time after which to retry. */
     suspend fun requestLoad(weight: String): Either<Failure, Unit>
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/serving/GenerationStream.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/serving/GenerationStream.kt
@@ -4,7 +4,7 @@
 import io.sequoiawheel.core.model.Instance
 import io.sequoiawheel.core.model.RequestId
 import io.sequoiawheel.core.stream.StallDetector
-import io.sequoiawheel.core.stream.TokenRelay
+import io.sequoiawheel.core.stream.TokenSequencer
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.async
 import kotlinx.coroutines.coroutineScope
@@ -28,7 +28,7 @@
     private val sink: GenerationSink,
     private val onFirstToken: (elapsedMillis: Long) -> Unit = {},
 ) {
-    private val relay = TokenRelay(generation, firstOffset)
+    private val relay = TokenSequencer(generation, firstOffset)
     private val detector = StallDetector()
 
     /** Since when the engine is waited for; [CALLER_TURN] while the sink takes a token. */
@@ -103,14 +103,14 @@
         connection: Flow<EngineEvent>,
         offsetBefore: Int,
     ): End {
-        var step = TokenRelay.Step.GAP
+        var step = TokenSequencer.Action.GAP
         return try {
             connection
                 .transformWhile<EngineEvent, Unit> { event ->
                     step = handle(event)
-                    step == TokenRelay.Step.RELEASE || step == TokenRelay.Step.DUPLICATE
+                    step == TokenSequencer.Action.RELEASE || step == TokenSequencer.Action.DUPLICATE
                 }.collect {}
-            if (step == TokenRelay.Step.COMPLETE) End.Complete else End.Broken(relay.nextOffset > offsetBefore)
+            if (step == TokenSequencer.Action.COMPLETE) End.Complete else End.Broken(relay.nextOffset > offsetBefore)
         } catch (error: DispatchException) {
             endOf(error, relay.nextOffset > offsetBefore)
         }
@@ -126,9 +126,9 @@
             DispatchException.Outcome.UNKNOWN -> End.Broken(progressed)
         }
 
-    private suspend fun handle(event: EngineEvent): TokenRelay.Step {
+    private suspend fun handle(event: EngineEvent): TokenSequencer.Action {
         val step = relay.accept(event)
-        if (step == TokenRelay.Step.RELEASE && event is EngineEvent.Token) deliver(event)
+        if (step == TokenSequencer.Action.RELEASE && event is EngineEvent.Token) deliver(event)
         return step
     }
 
@@ -139,7 +139,7 @@
         waitingSince = CALLER_TURN
         sink.onToken(token.offset, token.text)
         val delivered = clock.nowMillis()
-        if (delivered - arrival > CALLER_DELAY_MILLIS) detector.skipGap()
+        if (delivered - arrival > CALLER_DELAY_MILLIS) detector.ignoreNextGap()
         progressMillis = delivered
         waitingSince = delivered
     }
--- a/core/src/main/kotlin/io/sequoiawheel/core/stream/ResumeHandleCodec.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/stream/ResumeHandleCodec.kt
@@ -13,10 +13,10 @@
 import java.util.Base64
 
 /**
- * Writes and checks resume handles. The text is base64url of an HMAC-SHA256 followed by the handle as JSON; every
- * entry instance of a deployment has the same key. Thread-safe.
+ * Encodes and verifies resume handles. The text is the base64url encoding of an HMAC-SHA256 followed by the handle as
+ * JSON; all entry instances of a deployment use the same key. Thread-safe.
  *
- * @param key the secret of the settings, at least [MINIMUM_KEY_BYTES] bytes
+ * @param key the resume key from the settings, at least [MINIMUM_KEY_BYTES] bytes
  */
 class ResumeHandleCodec(
     private val key: ByteArray,
@@ -31,12 +31,12 @@
         return Base64.getUrlEncoder().withoutPadding().encodeToString(sign(payload) + payload)
     }
 
-    /** Returns the handle in [text] if it is genuine and belongs to [workspace], else `INVALID_RESUME_HANDLE`. */
+    /** Returns the handle in [text] if it is authentic and belongs to [workspace], else `INVALID_RESUME_HANDLE`. */
     fun decode(
         text: String,
         workspace: WorkspaceName,
     ): Either<Failure, ResumeHandle> {
-        // A foreign handle is answered like a forged one, so that its holder learns nothing about the other workspace.
+        // A handle of another workspace fails like a forged one, so that the caller learns nothing about that workspace.
         val handle = parse(text)?.takeIf { it.workspace == workspace }
         return handle?.right() ?: Failure(ResultCode.INVALID_RESUME_HANDLE).left()
     }
@@ -57,7 +57,7 @@
             null
         }
 
-    // HmacUtils is not thread-safe; a new one for each handle costs microseconds.
+    // HmacUtils is not thread-safe; creating one per handle takes microseconds.
     private fun sign(payload: ByteArray): ByteArray = HmacUtils(HmacAlgorithms.HMAC_SHA_256, key).hmac(payload)
 
     companion object {
--- a/core/src/main/kotlin/io/sequoiawheel/core/stream/StallDetector.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/stream/StallDetector.kt
@@ -3,28 +3,29 @@
 import kotlin.math.abs
 
 /**
- * Learns the gap between the tokens of one stream and says how long a silence is a stall. The estimate is the smoothed
- * mean and deviation of TCP's retransmission timer, because token gaps vary in the same way: slowly with load, and
- * with isolated outliers. Not thread-safe for writers; [timeoutMillis] may be read from another thread.
+ * Estimates the gap between the tokens of one stream and derives the timeout after which the stream counts as stalled.
+ * The estimate uses the smoothed mean and deviation of TCP's retransmission timer, because token gaps vary in the same
+ * way: slowly with load, and with isolated outliers. Updates need a single thread; [timeoutMillis] may be read from any
+ * thread.
  *
- * @param floorMillis a shorter silence is never a stall; covers one preemption of a short batch
- * @param ceilingMillis a longer silence always is; also the timeout before two tokens have been seen
+ * @param minimumTimeoutMillis lower bound of the timeout; covers one preemption of a short batch
+ * @param maximumTimeoutMillis upper bound of the timeout, and its value until two tokens have arrived
  */
 class StallDetector(
-    private val floorMillis: Long = FLOOR_MILLIS,
-    private val ceilingMillis: Long = CEILING_MILLIS,
+    private val minimumTimeoutMillis: Long = MINIMUM_TIMEOUT_MILLIS,
+    private val maximumTimeoutMillis: Long = MAXIMUM_TIMEOUT_MILLIS,
 ) {
-    private var lastMillis = UNSEEN
+    private var lastMillis = NO_TOKEN
     private var meanMillis = 0.0
     private var deviationMillis = 0.0
-    private var gaps = 0L
+    private var gapCount = 0L
 
-    /** How long a silence may last before it counts as a stall. */
+    /** Time without a token after which the stream counts as stalled. */
     @Volatile
-    var timeoutMillis: Long = ceilingMillis
+    var timeoutMillis: Long = maximumTimeoutMillis
         private set
 
-    /** Time beyond the expected gap between two tokens after the first, summed over the stream. */
+    /** Total time by which the gaps between tokens exceeded the expected gap. */
     var stalledMillis: Long = 0
         private set
 
@@ -32,25 +33,25 @@
     fun onToken(nowMillis: Long) {
         val previous = lastMillis
         lastMillis = nowMillis
-        if (previous == UNSEEN) return
+        if (previous == NO_TOKEN) return
         val gap = (nowMillis - previous).toDouble()
-        countStall(gap)
-        learn(gap)
+        addStall(gap)
+        updateEstimate(gap)
     }
 
-    /** Forgets the time of the last token, so that a wait for the caller does not count as a gap of the engine. */
-    fun skipGap() {
-        lastMillis = UNSEEN
+    /** Discards the time of the last token, so that waiting for a slow caller does not count as a gap of the engine. */
+    fun ignoreNextGap() {
+        lastMillis = NO_TOKEN
     }
 
-    private fun countStall(gap: Double) {
-        if (gaps < LEARNED_GAPS) return
-        val excess = gap - (meanMillis + STALL_DEVIATIONS * deviationMillis + CLOCK_STEP_MILLIS)
+    private fun addStall(gap: Double) {
+        if (gapCount < MINIMUM_GAPS) return
+        val excess = gap - (meanMillis + STALL_DEVIATIONS * deviationMillis + CLOCK_RESOLUTION_MILLIS)
         if (excess > 0) stalledMillis += excess.toLong()
     }
 
-    private fun learn(gap: Double) {
-        if (gaps++ == 0L) {
+    private fun updateEstimate(gap: Double) {
+        if (gapCount++ == 0L) {
             meanMillis = gap
             deviationMillis = gap / 2
         } else {
@@ -59,23 +60,23 @@
             deviationMillis += (abs(error) - deviationMillis) * DEVIATION_GAIN
         }
         val expected = meanMillis + TIMEOUT_DEVIATIONS * deviationMillis
-        timeoutMillis = (expected * TIMEOUT_FACTOR).toLong().coerceIn(floorMillis, ceilingMillis)
+        timeoutMillis = (expected * TIMEOUT_FACTOR).toLong().coerceIn(minimumTimeoutMillis, maximumTimeoutMillis)
     }
 
     private companion object {
-        const val UNSEEN = Long.MIN_VALUE
-        const val FLOOR_MILLIS = 400L
-        const val CEILING_MILLIS = 5_000L
-        const val LEARNED_GAPS = 8L
+        const val NO_TOKEN = Long.MIN_VALUE
+        const val MINIMUM_TIMEOUT_MILLIS = 400L
+        const val MAXIMUM_TIMEOUT_MILLIS = 5_000L
+        const val MINIMUM_GAPS = 8L
         const val MEAN_GAIN = 0.125
         const val DEVIATION_GAIN = 0.25
         const val STALL_DEVIATIONS = 2.0
         const val TIMEOUT_DEVIATIONS = 4.0
 
-        // A resume costs a connection, so the silence must be well outside the learned range.
+        // A resume costs a new connection, so the timeout must be well outside the expected range of gaps.
         const val TIMEOUT_FACTOR = 2.0
 
         // The clock has a resolution of one millisecond.
-        const val CLOCK_STEP_MILLIS = 1.0
+        const val CLOCK_RESOLUTION_MILLIS = 1.0
     }
 }
--- a/core/src/test/kotlin/io/sequoiawheel/core/history/HistoryCheckerTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/history/HistoryCheckerTest.kt
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Each test but the first breaks one promise in a correct history, and guards against a checker that misses it. */
+/** Each test except the first makes a correct history violate one promise; it guards against a checker that misses it. */
 class HistoryCheckerTest {
-    private val desk = ServiceName("desk")
+    private val service = ServiceName("desk")
     private val zone = ZoneName("a")
     private val entry = InstanceId("e1")
     private val replica = InstanceId("b1")
@@ -21,9 +21,9 @@
     private val correct: List<HistoryEvent> =
         listOf(
             HistoryEvent.EntryConnected(0, entry),
-            HistoryEvent.ReplicaCapacity(0, replica, desk, zone, concurrent = 2),
-            HistoryEvent.DocumentAccepted(10, desk, 1, 5),
-            HistoryEvent.DocumentApplied(20, entry, desk, 1),
+            HistoryEvent.ReplicaCapacity(0, replica, service, zone, concurrent = 2),
+            HistoryEvent.DocumentAccepted(10, service, 1, 5),
+            HistoryEvent.DocumentApplied(20, entry, service, 1),
             HistoryEvent.CallStarted(100, call, key = "k"),
             HistoryEvent.CallAccepted(100, call, entry),
             HistoryEvent.Dispatched(110, call, entry, replica),
@@ -42,10 +42,10 @@
             HistoryEvent.RunEnded(231, stream, replica),
             HistoryEvent.CallEnded(240, stream, ResultCode.OK, tokens = 2),
             HistoryEvent.ShutdownFinished(250, entry, 0),
-            HistoryEvent.AuditRead(300, desk, listOf(1)),
+            HistoryEvent.AuditRead(300, service, listOf(1)),
         )
 
-    private fun broken(
+    private fun violatedPromises(
         vararg extra: HistoryEvent,
         without: (HistoryEvent) -> Boolean = { false },
     ): Set<Promise> =
@@ -56,7 +56,7 @@
             .toSet()
 
     @Test
-    fun `a correct history passes and its facts are examined`() {
+    fun `a correct history passes and its facts are counted as examined`() {
         val result = HistoryChecker().check(correct)
         assertEquals(emptyList<Violation>(), result.violations)
         val decided = result.examined.filterValues { it > 0 }.keys
@@ -64,82 +64,82 @@
     }
 
     @Test
-    fun `a double dispatch of one key is caught`() {
+    fun `a second run of the same key is detected`() {
         val second = RequestId("r3")
         assertEquals(
             setOf(Promise.P6),
-            broken(HistoryEvent.CallStarted(130, second, "k"), HistoryEvent.RunStarted(140, second, replica)),
+            violatedPromises(HistoryEvent.CallStarted(130, second, "k"), HistoryEvent.RunStarted(140, second, replica)),
         )
-        assertEquals(setOf(Promise.P6), broken(HistoryEvent.RunStarted(112, call, replica)))
+        assertEquals(setOf(Promise.P6), violatedPromises(HistoryEvent.RunStarted(112, call, replica)))
     }
 
     @Test
-    fun `a spliced stream, a repeated token and a lost token are caught`() {
+    fun `a stream from two generations, a repeated token and a lost token are detected`() {
         val last = { event: HistoryEvent -> event is HistoryEvent.TokenDelivered && event.offset == 1 }
         assertEquals(
             setOf(Promise.P1),
-            broken(
+            violatedPromises(
                 HistoryEvent.TokenProduced(213, "b2/r2", 1, "b"),
                 HistoryEvent.TokenDelivered(230, stream, "b2/r2", 1, "b"),
                 without = last,
             ),
         )
-        assertEquals(setOf(Promise.P1), broken(HistoryEvent.TokenDelivered(235, stream, run, 1, "b")))
-        assertEquals(setOf(Promise.P4), broken(without = last))
+        assertEquals(setOf(Promise.P1), violatedPromises(HistoryEvent.TokenDelivered(235, stream, run, 1, "b")))
+        assertEquals(setOf(Promise.P4), violatedPromises(without = last))
     }
 
     @Test
-    fun `an overloaded cold replica is caught`() {
-        val more = (1..2).map { HistoryEvent.RunStarted(212, RequestId("x$it"), replica) }.toTypedArray()
-        assertEquals(setOf(Promise.P2), broken(*more))
+    fun `an overloaded cold replica is detected`() {
+        val extraRuns = (1..2).map { HistoryEvent.RunStarted(212, RequestId("x$it"), replica) }.toTypedArray()
+        assertEquals(setOf(Promise.P2), violatedPromises(*extraRuns))
     }
 
     @Test
-    fun `work into a zone taken out and to a leaving replica is caught after the grace only`() {
-        val out = HistoryEvent.ZoneChanged(300, desk, zone, isOut = true)
+    fun `dispatches to an evacuated zone and to a leaving replica are detected only after the grace period`() {
+        val out = HistoryEvent.ZoneChanged(300, service, zone, isOut = true)
         val leaving = HistoryEvent.ReplicaLeaving(300, replica)
-        val soon = HistoryEvent.Dispatched(1_000, RequestId("r3"), entry, replica)
-        val late = soon.copy(atMillis = 20_000)
-        assertEquals(emptySet<Promise>(), broken(out, leaving, soon))
-        assertEquals(setOf(Promise.P3), broken(out, late))
-        assertEquals(setOf(Promise.P7), broken(leaving, late))
-        val back = HistoryEvent.ZoneChanged(10_000, desk, zone, isOut = false)
-        assertEquals(emptySet<Promise>(), broken(out, back, late))
+        val early = HistoryEvent.Dispatched(1_000, RequestId("r3"), entry, replica)
+        val late = early.copy(atMillis = 20_000)
+        assertEquals(emptySet<Promise>(), violatedPromises(out, leaving, early))
+        assertEquals(setOf(Promise.P3), violatedPromises(out, late))
+        assertEquals(setOf(Promise.P7), violatedPromises(leaving, late))
+        val back = HistoryEvent.ZoneChanged(10_000, service, zone, isOut = false)
+        assertEquals(emptySet<Promise>(), violatedPromises(out, back, late))
     }
 
     @Test
-    fun `a false not run and a crossed answer are caught`() {
+    fun `a false not run status and an answer to another request are detected`() {
         val ended = { event: HistoryEvent -> event is HistoryEvent.CallEnded && event.request == call }
         assertEquals(
             setOf(Promise.P5),
-            broken(HistoryEvent.CallEnded(120, call, ResultCode.CLAIM_STORE_UNAVAILABLE), without = ended),
+            violatedPromises(HistoryEvent.CallEnded(120, call, ResultCode.CLAIM_STORE_UNAVAILABLE), without = ended),
         )
         val crossed = HistoryEvent.CallEnded(120, call, ResultCode.OK, "another answer")
-        assertEquals(setOf(Promise.P4), broken(crossed, without = ended))
+        assertEquals(setOf(Promise.P4), violatedPromises(crossed, without = ended))
     }
 
     @Test
-    fun `a request that a shutdown interrupts is caught`() {
+    fun `a request interrupted by a shutdown is detected`() {
         val ended = { event: HistoryEvent -> event is HistoryEvent.CallEnded && event.request == stream }
-        assertEquals(setOf(Promise.P8), broken(HistoryEvent.CallLost(235, stream), without = ended))
-        assertEquals(setOf(Promise.P8), broken(without = ended))
+        assertEquals(setOf(Promise.P8), violatedPromises(HistoryEvent.CallLost(235, stream), without = ended))
+        assertEquals(setOf(Promise.P8), violatedPromises(without = ended))
     }
 
     @Test
-    fun `a reverted, late, skipped or unaudited configuration is caught`() {
-        val second = HistoryEvent.DocumentAccepted(30, desk, 2, 6)
-        val applied = HistoryEvent.DocumentApplied(40, entry, desk, 2)
-        val audit = HistoryEvent.AuditRead(400, desk, listOf(1, 2))
-        val old = { event: HistoryEvent -> event is HistoryEvent.AuditRead }
-        assertEquals(emptySet<Promise>(), broken(second, applied, audit, without = old))
-        assertEquals(setOf(Promise.P9), broken(second, applied))
-        val reverted = HistoryEvent.DocumentApplied(50, entry, desk, 1)
-        assertEquals(setOf(Promise.P9), broken(second, applied, reverted, audit, without = old))
-        val staysUp = { event: HistoryEvent -> old(event) || event is HistoryEvent.ShutdownFinished }
-        assertEquals(setOf(Promise.P9), broken(second, audit, without = staysUp))
+    fun `a reverted, late, skipped or unaudited configuration is detected`() {
+        val second = HistoryEvent.DocumentAccepted(30, service, 2, 6)
+        val applied = HistoryEvent.DocumentApplied(40, entry, service, 2)
+        val audit = HistoryEvent.AuditRead(400, service, listOf(1, 2))
+        val isAuditRead = { event: HistoryEvent -> event is HistoryEvent.AuditRead }
+        assertEquals(emptySet<Promise>(), violatedPromises(second, applied, audit, without = isAuditRead))
+        assertEquals(setOf(Promise.P9), violatedPromises(second, applied))
+        val reverted = HistoryEvent.DocumentApplied(50, entry, service, 1)
+        assertEquals(setOf(Promise.P9), violatedPromises(second, applied, reverted, audit, without = isAuditRead))
+        val auditOrShutdown = { event: HistoryEvent -> isAuditRead(event) || event is HistoryEvent.ShutdownFinished }
+        assertEquals(setOf(Promise.P9), violatedPromises(second, audit, without = auditOrShutdown))
         val cutOff = HistoryEvent.EntryDisconnected(35, entry)
-        assertEquals(emptySet<Promise>(), broken(second, cutOff, audit, without = staysUp))
+        assertEquals(emptySet<Promise>(), violatedPromises(second, cutOff, audit, without = auditOrShutdown))
         val back = HistoryEvent.EntryConnected(50_000, entry)
-        assertEquals(setOf(Promise.P9), broken(second, cutOff, back, audit, without = staysUp))
+        assertEquals(setOf(Promise.P9), violatedPromises(second, cutOff, back, audit, without = auditOrShutdown))
     }
 }
--- a/core/src/test/kotlin/io/sequoiawheel/core/history/HistoryRecorderTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/history/HistoryRecorderTest.kt
@@ -5,7 +5,7 @@
 import org.jetbrains.lincheck.datastructures.Operation
 import org.junit.jupiter.api.Test
 
-/** Guards against events that are lost when several coroutines record at once. */
+/** Guards against losing events when several coroutines record concurrently. */
 class HistoryRecorderTest {
     private val recorder = HistoryRecorder()
 
--- a/core/src/test/kotlin/io/sequoiawheel/core/membership/MembershipTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/membership/MembershipTest.kt
@@ -22,19 +22,19 @@
         vararg instances: Instance,
     ) = MembershipUpdate(InstanceId("w"), sequence, instances.toList().toImmutableList())
 
-    /** Guards against keys that move although the instance that held them is still there. */
+    /** Guards against reassigning a key whose instance is still present. */
     @Test
-    fun `losing an instance moves only its keys`() {
+    fun `removing an instance moves only its keys`() {
         val all = (1..10).map { InstanceId("i$it") }
         val keys = (1..500).map { "replica-$it" }
-        keys.filter { Rendezvous.first(it, all) != all[3] }.forEach { key ->
-            assertEquals(Rendezvous.first(key, all), Rendezvous.first(key, all - all[3]))
+        keys.filter { RendezvousHashing.first(it, all) != all[3] }.forEach { key ->
+            assertEquals(RendezvousHashing.first(key, all), RendezvousHashing.first(key, all - all[3]))
         }
-        val counts = keys.groupingBy { Rendezvous.first(it, all) }.eachCount()
+        val counts = keys.groupingBy { RendezvousHashing.first(it, all) }.eachCount()
         assertTrue(counts.values.all { it in 25..90 }, "$counts")
     }
 
-    /** Guards against instances that no relay reaches. */
+    /** Guards against a relay tree that does not reach every instance. */
     @Test
     fun `the relay tree reaches each instance once`() {
         val all = (1..68).map { InstanceId("i$it") }
@@ -45,24 +45,24 @@
         all.forEach { parent -> tree.children(parent).forEach { assertEquals(parent, tree.parent(it)) } }
     }
 
-    /** Guards against a lagging list that revives an instance which is leaving. */
+    /** Guards against a delayed list that makes a leaving instance eligible for work again. */
     @Test
-    fun `leaving is sticky`() {
+    fun `an instance marked as leaving stays marked`() {
         val table = MembershipTable(entry("self"))
         table.apply(update(1, entry("self"), entry("b", Instance.State.LEAVING)), 0)
         table.apply(update(2, entry("self"), entry("b")), 1_000)
         assertFalse(table.mayReceiveWork(InstanceId("b")))
     }
 
-    /** Guards against a share that is given away while its old owner still uses it. */
+    /** Guards against reassigning a share while its previous owner still uses it. */
     @Test
-    fun `a vanished instance counts for the hold period`() {
+    fun `an instance missing from the list counts during the retention period`() {
         val table = MembershipTable(entry("self"))
         table.apply(update(1, entry("self"), entry("b")), 0)
         table.apply(update(2, entry("self")), 1_000)
         assertEquals(2, table.entries(zone, 9_999).size)
         assertEquals(1, table.entries(zone, 10_000).size)
-        table.heardFrom(InstanceId("b"), 9_000)
+        table.recordMessageFrom(InstanceId("b"), 9_000)
         assertEquals(2, table.entries(zone, 18_000).size)
     }
 }
--- a/core/src/test/kotlin/io/sequoiawheel/core/model/ServiceDocumentTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/model/ServiceDocumentTest.kt
@@ -37,7 +37,7 @@
         )
     }
 
-    /** Guards against two codes that share a number, which would make logs ambiguous. */
+    /** Guards against two codes with the same number, which would make logs ambiguous. */
     @Test
     fun `result codes have distinct numbers and distinct exit codes`() {
         assertEquals(
--- a/core/src/test/kotlin/io/sequoiawheel/core/stream/ResumeHandleCodecTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/stream/ResumeHandleCodecTest.kt
@@ -14,25 +14,25 @@
     private val handle =
         ResumeHandle(ServiceName("writers"), InstanceId("engine-1"), RequestId("g"), workspace, RequestId("r"))
 
-    /** Guards against handles that another entry instance with the same key cannot read. */
+    /** Guards against a handle that another entry instance with the same key cannot decode. */
     @Test
-    fun `a handle is read by every holder of the key`() {
+    fun `every instance with the same key decodes a handle`() {
         val other = ResumeHandleCodec(ByteArray(32) { 7 })
         assertEquals(handle, other.decode(codec.encode(handle), workspace).getOrNull())
     }
 
-    /** Guards against a changed byte, a foreign key or a foreign workspace being accepted. */
+    /** Guards against accepting a modified handle, one signed with another key, or one of another workspace. */
     @Test
-    fun `forged and foreign handles are refused`() {
+    fun `forged handles and handles of another workspace are rejected`() {
         val text = codec.encode(handle)
-        val changed = text.dropLast(2) + if (text.endsWith("A")) "BB" else "AA"
-        val foreignKey = ResumeHandleCodec(ByteArray(32) { 8 }).encode(handle)
-        val attempts = listOf(changed, foreignKey, "", "%%%", text.take(20))
-        attempts.forEach { attempt ->
-            val code = codec.decode(attempt, workspace).leftOrNull()?.code
-            assertEquals(ResultCode.INVALID_RESUME_HANDLE, code, attempt)
+        val modified = text.dropLast(2) + if (text.endsWith("A")) "BB" else "AA"
+        val signedWithOtherKey = ResumeHandleCodec(ByteArray(32) { 8 }).encode(handle)
+        val invalidHandles = listOf(modified, signedWithOtherKey, "", "%%%", text.take(20))
+        invalidHandles.forEach { invalidHandle ->
+            val code = codec.decode(invalidHandle, workspace).leftOrNull()?.code
+            assertEquals(ResultCode.INVALID_RESUME_HANDLE, code, invalidHandle)
         }
-        val foreign = codec.decode(text, WorkspaceName("other")).leftOrNull()
-        assertEquals(ResultCode.INVALID_RESUME_HANDLE, foreign?.code)
+        val otherWorkspace = codec.decode(text, WorkspaceName("other")).leftOrNull()
+        assertEquals(ResultCode.INVALID_RESUME_HANDLE, otherWorkspace?.code)
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ComparisonController.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ComparisonController.kt
@@ -54,7 +54,7 @@
     fun answer(request: CompareRequest): CompareResponse {
         val now = clock.nowMillis()
         val sender = InstanceId(request.sender)
-        table.heardFrom(sender, now)
+        table.recordMessageFrom(sender, now)
         if (request.subtreeInstances > 0) {
             progress.receive(sender, PeerMessages.reportOf(request.subtreeInstances, request.lowestList), now)
         }
@@ -93,7 +93,7 @@
             request.setSubtreeInstances(report.instances).addAllLowest(PeerMessages.toMessages(report.lowest))
         }
         val response = calls.call(peer) { compare(request.build()) } ?: return false
-        table.heardFrom(peer.id, clock.nowMillis())
+        table.recordMessageFrom(peer.id, clock.nowMillis())
         learn(peer, response)
         return true
     }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/OrderDuty.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/OrderDuty.kt
@@ -9,7 +9,7 @@
 import io.sequoiawheel.core.order.EngineOrders
 import io.sequoiawheel.core.order.OrderController
 import io.sequoiawheel.core.order.OrderIssuer
-import io.sequoiawheel.core.order.WeightBudget
+import io.sequoiawheel.core.order.WeightLoadLimiter
 import io.sequoiawheel.core.platform.WeightStore
 
 /**
@@ -34,7 +34,7 @@
         OrderController(
             engines = engines,
             issuer = OrderIssuer(engines, clock, { lease.tenure }, termMillis),
-            weights = WeightBudget(clock, LOADS_PER_MINUTE),
+            loadLimiter = WeightLoadLimiter(clock, LOADS_PER_MINUTE),
             weightStore = weightStore,
             documents = documents,
             replicas = { membership.replicas(it.service) },
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/PeerEndpoint.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/PeerEndpoint.kt
@@ -26,14 +26,14 @@
     private val clock: Clock,
 ) : PeerGrpcKt.PeerCoroutineImplBase() {
     override suspend fun relay(request: RelayRequest): RelayResponse {
-        table.heardFrom(InstanceId(request.sender), clock.nowMillis())
+        table.recordMessageFrom(InstanceId(request.sender), clock.nowMillis())
         if (request.hasMembership()) PeerMessages.fromMessage(request.membership)?.let { membership.take(it) }
         configuration.take(PeerMessages.fromMessages(request.acceptedList))
         return RelayResponse.getDefaultInstance()
     }
 
     override suspend fun reserve(request: ReserveRequest): ReserveResponse {
-        table.heardFrom(InstanceId(request.instance), clock.nowMillis())
+        table.recordMessageFrom(InstanceId(request.instance), clock.nowMillis())
         return grants.reserve(request)
     }
 
@@ -43,7 +43,7 @@
     }
 
     override suspend fun heartbeat(request: HeartbeatRequest): HeartbeatResponse {
-        table.heardFrom(InstanceId(request.instance), clock.nowMillis())
+        table.recordMessageFrom(InstanceId(request.instance), clock.nowMillis())
         return grants.heartbeat(request)
     }
 
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantHeartbeats.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantHeartbeats.kt
@@ -4,7 +4,7 @@
 import io.sequoiawheel.core.grant.GrantHeartbeat
 import io.sequoiawheel.core.grant.GrantView
 import io.sequoiawheel.core.membership.MembershipTable
-import io.sequoiawheel.core.membership.Rendezvous
+import io.sequoiawheel.core.membership.RendezvousHashing
 import io.sequoiawheel.core.model.Clock
 import io.sequoiawheel.core.model.Instance
 import io.sequoiawheel.core.model.InstanceId
@@ -48,7 +48,7 @@
     }
 
     private fun someOf(replicas: List<Instance>): List<Instance> {
-        val chosen = Rendezvous.subset(self.id.value, replicas.map { it.id }, FOREIGN_REPLICAS).toSet()
+        val chosen = RendezvousHashing.subset(self.id.value, replicas.map { it.id }, FOREIGN_REPLICAS).toSet()
         return replicas.filter { it.id in chosen }
     }
 
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/settings/SettingsReader.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/settings/SettingsReader.kt
@@ -34,7 +34,7 @@
             try {
                 Json.decodeFromJsonElement(DaemonSettings.serializer(), element)
             } catch (error: IllegalArgumentException) {
-                return failure(listOf(DocumentFault.parsing(error))).left()
+                return failure(listOf(DocumentFault.ofParseError(error))).left()
             }
         val faults = validate(settings)
         return if (faults.isEmpty()) settings.right() else failure(faults).left()
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/ReplicaGrants.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/ReplicaGrants.kt
@@ -8,7 +8,7 @@
 import io.sequoiawheel.core.grant.GrantView
 import io.sequoiawheel.core.grant.LengthCorrection
 import io.sequoiawheel.core.grant.PeakEstimator
-import io.sequoiawheel.core.membership.Rendezvous
+import io.sequoiawheel.core.membership.RendezvousHashing
 import io.sequoiawheel.core.model.Instance
 import io.sequoiawheel.core.model.InstanceId
 import io.sequoiawheel.core.model.ServiceDocument.ColdStartPolicy
@@ -28,7 +28,7 @@
     private val entries = (0 until service.topology.entries).toList()
     private val members = entries.filter { service.topology.zoneOf(it) == replica.zone }.associateBy { entryId(it) }
     private val safety = SafetyFactor()
-    val granting: Int = members.getValue(Rendezvous.first(id.value, members.keys)!!)
+    val granting: Int = members.getValue(RendezvousHashing.first(id.value, members.keys)!!)
     val clients = entries.map { GrantClient(entryId(it)) }
     val ledger =
         GrantLedger(
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/PrefixAffinityPolicy.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/PrefixAffinityPolicy.kt
@@ -1,6 +1,6 @@
 package io.sequoiawheel.experiment.policy
 
-import io.sequoiawheel.core.membership.Rendezvous
+import io.sequoiawheel.core.membership.RendezvousHashing
 import io.sequoiawheel.core.model.InstanceId
 import io.sequoiawheel.experiment.simulation.SimulatedReplica
 import io.sequoiawheel.experiment.simulation.SimulatedRequest
@@ -17,7 +17,7 @@
             request.arrival.request.promptBlocks
                 .lastOrNull()
                 ?.toString() ?: request.arrival.request.generation.value
-        val chosen = Rendezvous.first(key, replicas.map { InstanceId(it.index.toString()) })
+        val chosen = RendezvousHashing.first(key, replicas.map { InstanceId(it.index.toString()) })
         return replicas.first { it.index.toString() == chosen?.value }
     }
 }
