--- a/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimExpiry.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimExpiry.kt
@@ -46,7 +46,8 @@
         const val DEFAULT_DELETIONS_PER_SECOND = 20
         const val MILLIS_PER_SECOND = 1_000L
 
-        // Longer than any call and any delayed write, so that deleting a claim never permits a second run of a call in progress.
+        // Longer than any call and any delayed write, so that deleting a claim never permits a second run of a call in
+        // progress.
         const val MINIMUM_RETENTION_MILLIS = 3_600_000L
         const val WALL_CLOCK_SKEW_MILLIS = 60_000L
     }
--- a/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimPolicy.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimPolicy.kt
@@ -6,12 +6,12 @@
  * @property claimAttempts maximum number of attempts to write a claim before the call is rejected
  * @property initialRetryDelayMillis delay before the second attempt; it doubles for each further attempt
  * @property pendingWriteDelayMillis delay before a single pending release or completion is retried
- * @property backlogDelayMillis delay between retries when several writes are pending. After an outage every instance has
- *   a backlog: with a delay of 5 s, 340 instances make 68 writes per second in addition to 336 for new claims, and the
- *   object API accepts several hundred
+ * @property backlogDelayMillis delay between retries when several writes are pending. After an outage every instance
+ *   has a backlog: with a delay of 5 s, 340 instances make 68 writes per second in addition to 336 for new claims, and
+ *   the object API accepts several hundred
  * @property maximumPendingWrites maximum number of pending releases and completions; beyond it the oldest are dropped,
- *   which leaves claims without an outcome but never permits a second run. 500 answers of 64 KB take 32 MB of a daemon's
- *   128 MB
+ *   which leaves claims without an outcome but never permits a second run. 500 answers of 64 KB take 32 MB of a
+ *   daemon's 128 MB
  * @property retryAfterMillis retry hint for callers when the object API does not answer
  */
 data class ClaimPolicy(
--- a/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimRegistry.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/claim/ClaimRegistry.kt
@@ -24,7 +24,8 @@
 /**
  * Claims calls on behalf of one entry instance. Thread-safe.
  *
- * @param instance identity of this process; it is stored in claims so that others can tell a running call from a lost one
+ * @param instance identity of this process; it is stored in claims so that others can tell a running call from a lost
+ *   one
  * @param wallClock milliseconds since the epoch, used only for retention
  * @param isLive whether the membership table lists an instance as live or leaving
  * @param newClaimId returns an id that is unique in the deployment
@@ -86,8 +87,8 @@
     ): Either<Failure, Unit> = writeOrEnqueue(PendingClaimWrite.Complete(ticket, answer.withBoundedBody()))
 
     /**
-     * Releases [ticket], after which a call with the same key may run. Use it only if the call was not dispatched or the
-     * backend server confirmed that it did not run. A failed write is retried in the background.
+     * Releases [ticket], after which a call with the same key may run. Use it only if the call was not dispatched or
+     * the backend server confirmed that it did not run. A failed write is retried in the background.
      */
     suspend fun release(ticket: ClaimTicket): Either<Failure, Unit> = writeOrEnqueue(PendingClaimWrite.Release(ticket))
 
--- a/core/src/main/kotlin/io/sequoiawheel/core/configuration/AcceptedDocument.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/configuration/AcceptedDocument.kt
@@ -36,8 +36,8 @@
         /** Limits the size of the object, which must stay under the object API's limit of 1 MB. */
         const val MAXIMUM_AUDIT_ENTRIES = 50
 
-        // Unknown fields are ignored, so that an older instance still applies documents that a newer one accepted during
-        // a rolling upgrade. Documents from operators are parsed strictly.
+        // Unknown fields are ignored, so that an older instance still applies documents that a newer one accepted
+        // during a rolling upgrade. Documents from operators are parsed strictly.
         private val json =
             Json {
                 ignoreUnknownKeys = true
--- a/core/src/main/kotlin/io/sequoiawheel/core/configuration/InForceWriter.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/configuration/InForceWriter.kt
@@ -30,7 +30,8 @@
             version = it
             lastWritten = status
         }
-        // The zone's other watcher wrote the object, or a response was lost: use the current version for the next attempt.
+        // The zone's other watcher wrote the object, or a response was lost: use the current version for the next
+        // attempt.
         if (result.leftOrNull()?.code == ResultCode.DOCUMENT_CONFLICT) {
             version = api.get(key).fold({ 0 }, { it.version })
         }
--- a/core/src/main/kotlin/io/sequoiawheel/core/history/HistoryEvent.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/history/HistoryEvent.kt
@@ -1,7 +1,7 @@
 /*
- * The recorded events of a concurrent run, from callers, entry instances, backend servers and operators. Each type states
- * who records it, so that no component is the only source for its own correctness: the backend server records a run, the
- * caller records a delivered token.
+ * The recorded events of a concurrent run, from callers, entry instances, backend servers and operators. Each type
+ * states who records it, so that no component is the only source for its own correctness: the backend server records a
+ * run, the caller records a delivered token.
  */
 package io.sequoiawheel.core.history
 
--- a/core/src/main/kotlin/io/sequoiawheel/core/history/internal/PlacementCheck.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/history/internal/PlacementCheck.kt
@@ -50,7 +50,7 @@
     private fun checkDispatch(event: HistoryEvent.Dispatched) {
         leavingSince[event.replica]?.let { since ->
             findings.record(Promise.P7, event.atMillis - since <= bounds.leavingMillis) {
-                "request ${event.request} went to ${event.replica} ${event.atMillis - since} ms after it was marked as leaving"
+                "request ${event.request} went to ${event.replica} ${event.atMillis - since} ms after it began leaving"
             }
         }
         val replica = replicas[event.replica] ?: return
--- a/core/src/main/kotlin/io/sequoiawheel/core/lease/Lease.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/lease/Lease.kt
@@ -1,8 +1,8 @@
 /*
  * A lease stored in one object. It needs no synchronized clocks: a contender measures on its own clock how long the
- * object's version stays unchanged, and the holder counts its term from before it sent the renewal, so the holder's term
- * always ends before any contender's wait. The fencing number lets a target refuse an action of an earlier holder that
- * was paused between checking the lease and acting.
+ * object's version stays unchanged, and the holder counts its term from before it sent the renewal, so the holder's
+ * term always ends before any contender's wait. The fencing number lets a target refuse an action of an earlier holder
+ * that was paused between checking the lease and acting.
  */
 package io.sequoiawheel.core.lease
 
@@ -16,8 +16,8 @@
 import kotlinx.coroutines.delay
 
 /**
- * One instance's view of the lease [name]. [run] must be called by one coroutine only; [tenure] and [isHeld] may be read
- * from any thread.
+ * One instance's view of the lease [name]. [run] must be called by one coroutine only; [tenure] and [isHeld] may be
+ * read from any thread.
  */
 class Lease(
     private val api: ObjectApi,
@@ -91,8 +91,8 @@
                 when {
                     stored == record -> extend(found.version, sentAt)
                     stored.holder != record.holder || stored.fencing != record.fencing -> endTenure()
-                    // An earlier renewal took effect late: continue from its version without extending the term. A stale
-                    // read must not decrease the version.
+                    // An earlier renewal took effect late: continue from its version without extending the term. A
+                    // stale read must not decrease the version.
                     else -> version = maxOf(version, found.version)
                 }
             },
--- a/core/src/main/kotlin/io/sequoiawheel/core/lease/LeaseRecord.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/lease/LeaseRecord.kt
@@ -8,7 +8,8 @@
  *
  * @property fencing increases by one each time a holder acquires the lease
  * @property termMillis how long the holder may act after a renewal; 0 once the holder resigned
- * @property renewal increases with each write of the holder, so that reading the object back shows which unconfirmed write took effect
+ * @property renewal increases with each write of the holder, so that reading the object back shows which unconfirmed
+ *   write took effect
  */
 @Serializable
 data class LeaseRecord(
--- a/core/src/main/kotlin/io/sequoiawheel/core/membership/MembershipTable.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/membership/MembershipTable.kt
@@ -1,7 +1,7 @@
 /*
- * Tracks which instances exist, based on the delayed lists of the zone's watchers and on messages from peers. The table is
- * conservative in two ways: an instance missing from the list still counts for a while where counting too few instances is
- * unsafe (shares of a replica), and an instance once marked as leaving never receives new work again.
+ * Tracks which instances exist, based on the delayed lists of the zone's watchers and on messages from peers. The table
+ * is conservative in two ways: an instance missing from the list still counts for a while where counting too few
+ * instances is unsafe (shares of a replica), and an instance once marked as leaving never receives new work again.
  */
 package io.sequoiawheel.core.membership
 
@@ -28,9 +28,9 @@
     private var lastConfirmedMillis: Long? = null
 
     /**
-     * Applies the list of one watcher and returns whether it differs from that watcher's previous list. An update with a
-     * lower sequence than the watcher's previous one is ignored, and so is an empty list, which indicates a fault of its
-     * source.
+     * Applies the list of one watcher and returns whether it differs from that watcher's previous list. An update with
+     * a lower sequence than the watcher's previous one is ignored, and so is an empty list, which indicates a fault of
+     * its source.
      */
     @Synchronized
     fun apply(
@@ -174,7 +174,9 @@
     )
 
     companion object {
-        /** How long an instance missing from the list still counts as an owner of shares; exceeds the lag of the list. */
+        /**
+         * How long an instance missing from the list still counts as an owner of shares; exceeds the lag of the list.
+         */
         const val RETENTION_MILLIS = 10_000L
 
         /** How long an instance missing from the list is remembered at all. */
--- a/core/src/main/kotlin/io/sequoiawheel/core/model/Identifiers.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/model/Identifiers.kt
@@ -1,6 +1,6 @@
 /*
- * Identifiers exchanged between processes. They are value classes, so that a workspace cannot be passed where a replica is
- * expected, and they serialize as plain strings.
+ * Identifiers exchanged between processes. They are value classes, so that a workspace cannot be passed where a replica
+ * is expected, and they serialize as plain strings.
  */
 package io.sequoiawheel.core.model
 
--- a/core/src/main/kotlin/io/sequoiawheel/core/order/EngineOrders.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/order/EngineOrders.kt
@@ -6,7 +6,9 @@
 
 /** Sends orders to model engines and reads the orders that they hold. */
 interface EngineOrders {
-    /** Sends [order]. Failures: `ORDER_FENCED` if the engine saw a number above [fencing], `CONNECT_FAILED` or others. */
+    /**
+     * Sends [order]. Failures: `ORDER_FENCED` if the engine saw a number above [fencing], `CONNECT_FAILED` or others.
+     */
     suspend fun put(
         replica: Instance,
         order: Order,
--- a/core/src/main/kotlin/io/sequoiawheel/core/order/OrderIssuer.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/order/OrderIssuer.kt
@@ -15,8 +15,8 @@
  * Sends orders while the lease is held and confirms each by reading it back from the engine.
  *
  * @param tenure the current tenure of this instance, or null if it does not hold the lease
- * @param termMillis term of the lease. With engines that ignore fencing numbers, a new holder waits this long before its
- *   first order, so that orders sent by an earlier holder before it was paused have arrived
+ * @param termMillis term of the lease. With engines that ignore fencing numbers, a new holder waits this long before
+ *   its first order, so that orders sent by an earlier holder before it was paused have arrived
  */
 class OrderIssuer(
     private val engines: EngineOrders,
@@ -35,12 +35,8 @@
     ): Either<Failure, HeldOrder> {
         val currentTenure = tenure() ?: return Failure(ResultCode.LEASE_LOST).left()
         if (fencing == ServiceDocument.Fencing.IGNORED) {
-            val remainingMillis = currentTenure.acquiredAt + termMillis - clock.nowMillis()
-            if (remainingMillis >
-                0
-            ) {
-                return Failure(ResultCode.LEASE_LOST, "waiting for one lease term", remainingMillis).left()
-            }
+            val waitMillis = currentTenure.acquiredAt + termMillis - clock.nowMillis()
+            if (waitMillis > 0) return Failure(ResultCode.LEASE_LOST, "waiting for one lease term", waitMillis).left()
         }
         val putResult = engines.put(replica, order, currentTenure.fencing)
         putResult.leftOrNull()?.takeIf { it.code == ResultCode.ORDER_FENCED }?.let { return it.left() }
--- a/core/src/main/kotlin/io/sequoiawheel/core/order/OrderPlanner.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/order/OrderPlanner.kt
@@ -1,6 +1,7 @@
 /*
  * Computes the orders that bring the replicas of a service to the state in its document. The plan depends only on what
- * the engines report, so a new lease holder continues where the previous one stopped, and a lost order is planned again.
+ * the engines report, so a new lease holder continues where the previous one stopped, and a lost order is planned
+ * again.
  */
 package io.sequoiawheel.core.order
 
--- a/core/src/main/kotlin/io/sequoiawheel/core/order/WeightLoadLimiter.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/order/WeightLoadLimiter.kt
@@ -3,8 +3,8 @@
 import io.sequoiawheel.core.model.Clock
 
 /**
- * A token bucket that limits how often all replicas together load from the weight store; the lease holder runs it. A new
- * holder starts with an empty bucket, so that a change of holder does not double the rate. Thread-safe.
+ * A token bucket that limits how often all replicas together load from the weight store; the lease holder runs it. A
+ * new holder starts with an empty bucket, so that a change of holder does not double the rate. Thread-safe.
  *
  * @param loadsPerMinute rate that the weight store sustains
  * @param burst capacity of the bucket: loads that may start at once after an idle period
--- a/core/src/main/kotlin/io/sequoiawheel/core/platform/ObjectApi.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/platform/ObjectApi.kt
@@ -1,6 +1,6 @@
 /*
- * The interface to the platform's object API. Implementations call it over HTTP, or keep all objects in memory for tests
- * and experiments. Every call can fail, be slow, or lose its response after the write has taken effect.
+ * The interface to the platform's object API. Implementations call it over HTTP, or keep all objects in memory for
+ * tests and experiments. Every call can fail, be slow, or lose its response after the write has taken effect.
  */
 package io.sequoiawheel.core.platform
 
--- a/core/src/main/kotlin/io/sequoiawheel/core/stream/ResumeHandle.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/stream/ResumeHandle.kt
@@ -8,8 +8,8 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Locates a running generation so that its stream can be resumed. It contains the replica's id instead of an address, so
- * that a handle can never direct an entry instance to a host outside the instance list.
+ * Locates a running generation so that its stream can be resumed. It contains the replica's id instead of an address,
+ * so that a handle can never direct an entry instance to a host outside the instance list.
  */
 @Serializable
 data class ResumeHandle(
--- a/core/src/main/kotlin/io/sequoiawheel/core/stream/ResumeHandleCodec.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/stream/ResumeHandleCodec.kt
@@ -36,7 +36,8 @@
         text: String,
         workspace: WorkspaceName,
     ): Either<Failure, ResumeHandle> {
-        // A handle of another workspace fails like a forged one, so that the caller learns nothing about that workspace.
+        // A handle of another workspace fails like a forged one, so that the caller learns nothing about that
+        // workspace.
         val handle = parse(text)?.takeIf { it.workspace == workspace }
         return handle?.right() ?: Failure(ResultCode.INVALID_RESUME_HANDLE).left()
     }
--- a/core/src/test/kotlin/io/sequoiawheel/core/claim/StoreCircuitBreakerTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/claim/StoreCircuitBreakerTest.kt
@@ -28,7 +28,10 @@
             .invocationsPerIteration(300)
             .check(this::class)
 
-    /** Guards against a breaker that never closes again, or that lets every caller wait for a store that does not answer. */
+    /**
+     * Guards against a breaker that never closes again, or that lets every caller wait for a store that does not
+     * answer.
+     */
     @Test
     fun `an unresponsive store is probed at growing intervals until it answers`() {
         var now = 0L
--- a/core/src/test/kotlin/io/sequoiawheel/core/history/HistoryCheckerTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/history/HistoryCheckerTest.kt
@@ -8,7 +8,9 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Each test except the first makes a correct history violate one promise; it guards against a checker that misses it. */
+/**
+ * Each test except the first makes a correct history violate one promise; it guards against a checker that misses it.
+ */
 class HistoryCheckerTest {
     private val service = ServiceName("desk")
     private val zone = ZoneName("a")
