--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ComparisonController.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ComparisonController.kt
@@ -54,7 +54,7 @@
     fun answer(request: CompareRequest): CompareResponse {
         val now = clock.nowMillis()
         val sender = InstanceId(request.sender)
-        table.heardFrom(sender, now)
+        table.recordMessageFrom(sender, now)
         if (request.subtreeInstances > 0) {
             progress.receive(sender, PeerMessages.reportOf(request.subtreeInstances, request.lowestList), now)
         }
@@ -93,7 +93,7 @@
             request.setSubtreeInstances(report.instances).addAllLowest(PeerMessages.toMessages(report.lowest))
         }
         val response = calls.call(peer) { compare(request.build()) } ?: return false
-        table.heardFrom(peer.id, clock.nowMillis())
+        table.recordMessageFrom(peer.id, clock.nowMillis())
         learn(peer, response)
         return true
     }
@@ -125,7 +125,7 @@
 
     private suspend fun reportZone() {
         val report = progress.report(clock.nowMillis())
-        inForce.offer(InForceStatus(tree.zone, self.value, tree.size, report))
+        inForce.writeIfDue(InForceStatus(tree.zone, self.value, tree.size, report))
     }
 
     private fun randomOf(peers: List<Instance>): Instance? =
