--- a/relay/src/main/kotlin/io/sequoiawheel/relay/ClassArchive.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/ClassArchive.kt
@@ -1,7 +1,7 @@
 /*
- * The run by which the build makes the archive of loaded classes: an entry instance that reads a small configuration
- * from a store on loopback, serves one call and one stream, and ends. A process that starts with the archive is ready
- * in less than half the time.
+ * The training run from which the build creates the class data sharing (CDS) archive: an entry instance that reads a
+ * small configuration from a store on the loopback interface, serves one call and one stream, and exits. A process that
+ * starts with the archive is ready in less than half the time.
  */
 package io.sequoiawheel.relay
 
@@ -12,7 +12,7 @@
 import io.sequoiawheel.platform.ExampleDocuments
 import io.sequoiawheel.platform.SettingsCodec
 import io.sequoiawheel.platform.StoreProtocol
-import io.sequoiawheel.relay.http.StatusAnswer
+import io.sequoiawheel.relay.http.StatusResponse
 import io.sequoiawheel.relay.http.StatusServer
 import io.sequoiawheel.relay.internal.LogConfiguration
 import kotlinx.coroutines.CoroutineScope
@@ -26,25 +26,25 @@
 
 private const val HOST = "127.0.0.1"
 
-/** The whole run takes about a second; without a result the build goes on without an archive of these classes. */
-private const val LIMIT_MILLIS = 10_000L
+/** The run takes about a second; if it fails, the build continues without an archive of these classes. */
+private const val TIMEOUT_MILLIS = 10_000L
 private const val POLL_MILLIS = 20L
 private const val READ_TIMEOUT_MILLIS = 2_000
 
-/** Ends with 0 if the instance became ready. */
+/** Exits with 0 if the instance became ready and served its requests. */
 fun main() {
-    LogConfiguration.isWanted = true
+    LogConfiguration.isEnabled = true
     val eventLoop = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next()
     val scope = CoroutineScope(eventLoop.asCoroutineDispatcher())
     val storePort = ServerSocket(0).use { it.localPort }
     val isServed =
         runBlocking {
-            StatusServer(eventLoop, scope) { storeAnswer(it, storePort) }.start(Endpoint(HOST, storePort))
+            StatusServer(eventLoop, scope) { storeResponse(it, storePort) }.start(Endpoint(HOST, storePort))
             val daemon = RelayDaemon(SettingsCodec.decode(ExampleDocuments.settings(HOST, storePort)))
             daemon.start()
-            withTimeoutOrNull(LIMIT_MILLIS) {
+            withTimeoutOrNull(TIMEOUT_MILLIS) {
                 while (!daemon.isReady) delay(POLL_MILLIS)
-                ExampleDocuments.requests.forEach { request(daemon.callerPort, it) }
+                ExampleDocuments.requests.forEach { sendRequest(daemon.callerPort, it) }
                 true
             } ?: false
         }
@@ -52,7 +52,7 @@
     exitProcess(if (isServed) 0 else 1)
 }
 
-private fun request(
+private fun sendRequest(
     port: Int,
     text: String,
 ) = Socket(HOST, port).use { socket ->
@@ -61,10 +61,10 @@
     socket.getInputStream().readBytes()
 }
 
-private suspend fun storeAnswer(
+private suspend fun storeResponse(
     target: String,
     ownPort: Int,
-): StatusAnswer {
-    if (StoreProtocol.parseWatch(target) != null) delay(LIMIT_MILLIS)
-    return StatusAnswer(HttpResponseStatus.OK, ExampleDocuments.listing(target, Endpoint(HOST, ownPort)))
+): StatusResponse {
+    if (StoreProtocol.parseWatch(target) != null) delay(TIMEOUT_MILLIS)
+    return StatusResponse(HttpResponseStatus.OK, ExampleDocuments.listing(target, Endpoint(HOST, ownPort)))
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/Main.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/Main.kt
@@ -6,12 +6,14 @@
 import java.io.IOException
 import kotlin.system.exitProcess
 
-/** Name of the environment variable with the port of the metrics; without it they are on the readiness address only. */
+/**
+ * Environment variable with an additional port for metrics; without it they are served on the readiness address only.
+ */
 const val METRICS_PORT_VARIABLE = "SEQUOIAWHEEL_METRICS_PORT"
 
 private const val LARGEST_PORT = 65_535
 
-/** Runs one entry instance with the settings file that the environment names, until SIGTERM. */
+/** Runs one entry instance until SIGTERM. The environment names its settings file. */
 fun main() {
     val path =
         System.getenv(SettingsCodec.PATH_VARIABLE) ?: fail("${SettingsCodec.PATH_VARIABLE} is not set")
@@ -29,7 +31,7 @@
 private fun metricsPort(): Int? {
     val text = System.getenv(METRICS_PORT_VARIABLE)?.takeIf { it.isNotBlank() } ?: return null
     return text.toIntOrNull()?.takeIf { it in 1..LARGEST_PORT }
-        ?: fail("$METRICS_PORT_VARIABLE: '$text' is no port from 1 to $LARGEST_PORT")
+        ?: fail("$METRICS_PORT_VARIABLE: '$text' is not a port from 1 to $LARGEST_PORT")
 }
 
 private fun fail(message: String): Nothing {
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/RelayDaemon.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/RelayDaemon.kt
@@ -1,6 +1,6 @@
 /*
- * One entry instance that relays requests between callers and backend servers. All state is confined to one event loop;
- * coroutines on it take turns, so no lock is needed. Nothing is kept beyond the process.
+ * An entry instance, which relays requests between callers and backend servers. All state is confined to one event
+ * loop, whose coroutines run one at a time, so no locks are needed. No state outlives the process.
  */
 package io.sequoiawheel.relay
 
@@ -49,7 +49,7 @@
 import io.sequoiawheel.relay.http.CallerServer
 import io.sequoiawheel.relay.http.CallerService
 import io.sequoiawheel.relay.http.ConnectionLimits
-import io.sequoiawheel.relay.http.StatusAnswer
+import io.sequoiawheel.relay.http.StatusResponse
 import io.sequoiawheel.relay.http.StatusServer
 import io.sequoiawheel.relay.internal.DecisionLog
 import io.sequoiawheel.relay.internal.RelayMetrics
@@ -82,7 +82,7 @@
     private val metrics = RelayMetrics()
     private val connector = Connector(eventLoop, monotonic)
     private val eras = StoreEras(monotonic)
-    private val store = StoreClient(connector, eras, ::storeCameBackOlder) { settings.store }
+    private val store = StoreClient(connector, eras, ::onStoreRestored) { settings.store }
     private val freshness =
         Freshness(monotonic, wall, (settings.bounds.revokeMillis * FRESH_SHARE).toLong())
     private val directory = ReplicaDirectory(monotonic, coldPhase = random.nextDouble())
@@ -106,31 +106,31 @@
             instanceCount = loads::instanceCount,
         )
     private val peers = PeerController(self, directory, loads, store, random, log)
-    private val hubs = HubSelection(settings.name, settings.zone, monotonic, random, loads::live)
-    private val sources = ChangeSources(store, connector, hubs, eras, log)
+    private val hubSelection = HubSelection(settings.name, settings.zone, monotonic, random, loads::live)
+    private val sources = ChangeSources(store, connector, hubSelection, eras, log)
     private val feeds =
         listOf(
             StoreKind.CONFIGURATION,
             StoreKind.REPLICAS,
             StoreKind.EVACUATIONS,
         ).associateWith(::ChangeFeed)
-    private val hub = ChangeHub(feeds, hubs, freshness)
+    private val changeHub = ChangeHub(feeds, hubSelection, freshness)
     private val longWatchers =
         listOf(
             watcher(StoreKind.REPLICAS, LONG_WAIT_MILLIS, replicas) {},
             watcher(StoreKind.EVACUATIONS, LONG_WAIT_MILLIS, evacuations) {},
         )
-    private val probe =
+    private val configurationWatcher =
         watcher(StoreKind.CONFIGURATION, configurationWaitMillis(), configuration) {
             longWatchers.forEach(KindWatcher::interrupt)
         }
     private val calls = CallRelay(context)
     private val generations = GenerationRelay(context)
-    private val chain =
+    private val filters =
         FilterChain(
             listOf(
                 OutcomeFilter(monotonic, log, metrics),
-                ConfigurationFilter { configuration.current.takeIf { isInformed } },
+                ConfigurationFilter { configuration.current.takeIf { isInitialized } },
                 RouteFilter(),
                 WorkspaceFilter(configuration::awaitFresh) { configuration.current },
                 DeadlineFilter(monotonic),
@@ -140,98 +140,101 @@
         )
     private var leavingSinceMillis: Long? = null
     private var inProgress = 0
-    private var introduction: Job? = null
+    private var registration: Job? = null
     private val callerService = Service()
     private val server = CallerServer(eventLoop, scope, callerService)
 
-    /** The port on which callers are served; valid after [start]. */
+    /** The port on which the instance accepts callers; valid after [start]. */
     var callerPort = settings.callers.port
         private set
 
-    /** Whether the instance tells the balancer that it is ready. */
+    /** Whether the instance reports to the load balancer that it is ready. */
     val isReady: Boolean
-        get() = leavingSinceMillis == null && isInformed && isInTouch()
+        get() = leavingSinceMillis == null && isInitialized && isConfigurationRecent()
 
-    /** Instances that reported their load lately, this one included. */
+    /** Number of instances that reported their load recently, including this one. */
     internal val liveInstances: Int get() = loads.liveCount()
 
-    /** Whether everything that a request depends on was read from the store once. */
-    private val isInformed: Boolean
+    /** Whether the configuration, the replicas and the evacuated zones were read from the store at least once. */
+    private val isInitialized: Boolean
         get() = configuration.current != null && longWatchers.all { it.isListed }
 
-    /** Starts the listeners and begins to follow the platform's store. */
+    /** Starts the listeners and the watches of the platform's store. */
     suspend fun start() =
         withContext(scope.coroutineContext) {
             log.lifecycle(
                 "started",
                 mapOf("instance" to settings.name, "zone" to settings.zone.value, "store" to settings.store.toString()),
             )
-            (longWatchers + probe).forEach { scope.launch { it.run() } }
+            (longWatchers + configurationWatcher).forEach { scope.launch { it.run() } }
             callerPort = server.start(settings.callers, MAXIMUM_HEADER_BYTES)
             val statusServer = StatusServer(eventLoop, scope) { status(it.substringBefore('?')) }
             statusServer.start(settings.readiness)
             metricsPort?.let { statusServer.start(Endpoint(settings.host, it)) }
-            StatusServer(eventLoop, scope, hub::answer).start(self.endpoint)
+            StatusServer(eventLoop, scope, changeHub::handle).start(self.endpoint)
             publishGauges()
             peers.start(eventLoop)
-            introduce()
+            register()
             scope.launch { peers.report() }
-            scope.launch { sweep() }
-            scope.launch { reportCosts() }
+            scope.launch { maintain() }
+            scope.launch { logTraffic() }
             Unit
         }
 
-    /** Applies settings that may change while the process runs. */
-    fun reload(newer: InstanceSettings) {
+    /** Applies settings that changed while the process is running. */
+    fun reload(newSettings: InstanceSettings) {
         eventLoop.execute {
-            settings = newer
-            log.lifecycle("reloaded", mapOf("instance" to newer.name, "store" to newer.store.toString()))
+            settings = newSettings
+            log.lifecycle("reloaded", mapOf("instance" to newSettings.name, "store" to newSettings.store.toString()))
         }
     }
 
-    /** Records that changed settings could not be read and the ones in force stay. */
-    fun keepSettings(detail: String?) {
+    /** Logs that changed settings could not be read, so that the settings in force stay. */
+    fun reportUnreadableSettings(detail: String?) {
         eventLoop.execute { log.lifecycle("settings unreadable, kept", mapOf("detail" to detail)) }
     }
 
-    /** Stops taking new callers, and returns when the requests in progress have ended or the grace is over. */
+    /** Shuts the instance down: returns when the requests in progress have ended or the grace period is over. */
     suspend fun leave() =
         withContext(scope.coroutineContext) {
             leavingSinceMillis = monotonic.nowMillis()
             log.lifecycle("leaving", mapOf("inProgress" to inProgress))
-            scope.launch { peers.leave() }
+            scope.launch { peers.deregister() }
             val graceMillis = graceMillis()
             val leavingSince = monotonic.nowMillis()
             while (monotonic.nowMillis() - leavingSince < graceMillis) {
-                val mayEnd = monotonic.nowMillis() - leavingSince >= ROTATION_MILLIS && inProgress == 0
-                if (mayEnd) break
-                delay(DRAIN_CHECK_MILLIS)
+                val isDrained = monotonic.nowMillis() - leavingSince >= BALANCER_REMOVAL_MILLIS && inProgress == 0
+                if (isDrained) break
+                delay(DRAIN_POLL_MILLIS)
             }
             server.stop()
             log.lifecycle("stopped", mapOf("inProgress" to inProgress))
         }
 
-    /** Frees the event loop. */
+    /** Cancels all coroutines and shuts down the event loop. */
     fun close() {
         scope.cancel()
         group.shutdownGracefully()
     }
 
-    /** Makes the instance known to the others, again if the store came back from a copy that may lack its entry. */
-    private fun introduce() {
-        introduction?.cancel()
-        introduction =
+    /**
+     * Registers the instance in the store. Called again after the store was restored from an older copy, which may lack
+     * the entry.
+     */
+    private fun register() {
+        registration?.cancel()
+        registration =
             scope.launch {
-                peers.introduce()
-                sources.peersAreKnown()
+                peers.register()
+                sources.completePeerDiscovery()
             }
     }
 
-    private fun storeCameBackOlder() {
+    private fun onStoreRestored() {
         metrics.count("store.eras", "new")
-        log.dependency("store came back from an older copy", mapOf("era" to eras.current))
-        (longWatchers + probe).forEach(KindWatcher::interrupt)
-        introduce()
+        log.dependency("store restored from an older copy", mapOf("era" to eras.current))
+        (longWatchers + configurationWatcher).forEach(KindWatcher::interrupt)
+        register()
     }
 
     private fun watcher(
@@ -248,7 +251,7 @@
             exchange.refuse(
                 NotRunProof.NOTHING_SENT,
                 ResultCode.NO_REPLICA,
-                "the route's service is not described",
+                "the service of the route is not defined",
                 OTHER_INSTANCE_RETRY_MILLIS,
             )
             return
@@ -257,12 +260,12 @@
         if (route.kind == RequestKind.STREAM) generations.relay(exchange, service) else calls.relay(exchange, service)
     }
 
-    private fun status(path: String): StatusAnswer {
-        if (path == METRICS_PATH) return StatusAnswer(HttpResponseStatus.OK, metrics.text())
-        return StatusAnswer(if (isReady) HttpResponseStatus.OK else HttpResponseStatus.SERVICE_UNAVAILABLE)
+    private fun status(path: String): StatusResponse {
+        if (path == METRICS_PATH) return StatusResponse(HttpResponseStatus.OK, metrics.scrape())
+        return StatusResponse(if (isReady) HttpResponseStatus.OK else HttpResponseStatus.SERVICE_UNAVAILABLE)
     }
 
-    private fun isInTouch() =
+    private fun isConfigurationRecent() =
         freshness.isWithdrawn() || freshness.ageMillis() <= settings.bounds.revokeMillis * READY_SHARE
 
     private fun configurationWaitMillis() =
@@ -286,22 +289,24 @@
         metrics.gauge("peer.bytes.sent") { peers.bytesSent }
     }
 
-    /** Tells regularly what the instance costs the platform and its peers, so that a day can be accounted for. */
-    private suspend fun reportCosts() {
+    /**
+     * Logs regularly how many calls and datagrams the instance sent, so that the load of a whole day can be computed.
+     */
+    private suspend fun logTraffic() {
         while (true) {
-            delay(COST_INTERVAL_MILLIS)
-            log.belief(
+            delay(TRAFFIC_LOG_INTERVAL_MILLIS)
+            log.stateChange(
                 "calls to the store",
                 store.calls + mapOf("peerDatagrams" to peers.datagramsSent, "peerBytes" to peers.bytesSent),
             )
         }
     }
 
-    private suspend fun sweep() {
+    private suspend fun maintain() {
         while (true) {
-            delay(SWEEP_MILLIS)
+            delay(MAINTENANCE_INTERVAL_MILLIS)
             freshness.observe()
-            pool.sweep(directory.all().filterTo(HashSet()) { !it.isLeaving })
+            pool.evictIdle(directory.all().filterTo(HashSet()) { !it.isLeaving })
         }
     }
 
@@ -325,13 +330,13 @@
         ) {
             inProgress++
             try {
-                chain.handle(Exchange(request, response))
+                filters.handle(Exchange(request, response))
             } finally {
                 inProgress--
             }
         }
 
-        override fun rejected(
+        override fun onRejected(
             code: ResultCode,
             detail: String,
         ) = log.request("request unreadable", mapOf("code" to code.number, "result" to code.name, "detail" to detail))
@@ -342,39 +347,45 @@
         const val MILLIS_PER_SECOND = 1_000
         const val METRICS_PATH = "/metrics"
 
-        /** Share of the revocation bound after which keys are no longer honoured; the rest covers a late watch. */
+        /**
+         * Share of the revocation bound after which keys are no longer accepted; the rest allows for a late watch
+         * response.
+         */
         const val FRESH_SHARE = 0.78
 
-        /** Share of the revocation bound after which callers are better served by other instances. */
+        /**
+         * Share of the revocation bound after which the instance reports itself as not ready, so callers use other
+         * instances.
+         */
         const val READY_SHARE = 0.6
 
-        /** Each response to a watch proves the configuration anew, well within the share for readiness. */
+        /** Each watch response confirms the configuration as current, well within the share for readiness. */
         const val CONFIGURATION_WAIT_MILLIS = 2_400L
 
-        /** Share of a short revocation bound that a wait may take; with the response it stays below [READY_SHARE]. */
+        /** Limits the wait to this share of a short revocation bound; wait and response stay below [READY_SHARE]. */
         const val CONFIGURATION_WAIT_SHARE = 0.5
 
         /**
-         * Changes end a wait at once, so longer waits only save calls. A lost path to the store is found by the watch
-         * of the configuration, a silent connection by keep-alive probes.
+         * A change ends a wait at once, so longer waits only save calls. The watch of the configuration detects an
+         * unreachable store, and keep-alive probes detect an unresponsive connection.
          */
         const val LONG_WAIT_MILLIS = 20_000L
 
-        /** Decoders are set up before the first configuration names its limit. */
+        /** Decoders are created before the first configuration states its limits. */
         const val MAXIMUM_HEADER_BYTES = 16_384
         const val DEFAULT_BODY_BYTES = 1_048_576
         const val DEFAULT_TIMEOUT_MILLIS = 10_000L
 
-        /** The balancer takes an instance out after two misses, asked once a second. */
-        const val ROTATION_MILLIS = 2_600L
-        const val DRAIN_CHECK_MILLIS = 50L
+        /** The load balancer checks readiness once a second and removes an instance after two failed checks. */
+        const val BALANCER_REMOVAL_MILLIS = 2_600L
+        const val DRAIN_POLL_MILLIS = 50L
 
-        /** Time to end the process after the last response. */
+        /** Time that the process needs to exit after the last response. */
         const val GRACE_MARGIN_MILLIS = 500L
 
-        const val SWEEP_MILLIS = 100L
+        const val MAINTENANCE_INTERVAL_MILLIS = 100L
 
-        /** One line in ten seconds is far below the bound of the log. */
-        const val COST_INTERVAL_MILLIS = 10_000L
+        /** One line every ten seconds is far below the limit of the log. */
+        const val TRAFFIC_LOG_INTERVAL_MILLIS = 10_000L
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/RelayProcess.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/RelayProcess.kt
@@ -15,11 +15,11 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * One entry instance as a process: SIGTERM and SIGINT let it finish its requests and end. The settings file is read
- * again at SIGHUP, and when it has changed without a signal.
+ * Runs one entry instance as a process. SIGTERM and SIGINT shut it down once its requests have finished. The settings
+ * file is reloaded on SIGHUP, and also when it changes without a signal.
  *
  * @param settingsPath the settings file that the platform writes
- * @param metricsPort port on which the metrics are served beside the readiness address, or null
+ * @param metricsPort additional port for metrics, which are also served on the readiness address; or null
  */
 class RelayProcess(
     private val settingsPath: String,
@@ -27,9 +27,9 @@
 ) {
     private val stop = CountDownLatch(1)
 
-    /** Serves until a signal ends it, and returns the exit code. Unreadable settings throw. */
+    /** Serves until a signal stops the process, and returns the exit code. Throws if the settings are unreadable. */
     fun run(): Int {
-        LogConfiguration.isWanted = true
+        LogConfiguration.isEnabled = true
         val daemon = RelayDaemon(readSettings(settingsPath), metricsPort)
         Signal.handle(Signal("TERM")) { stop.countDown() }
         Signal.handle(Signal("INT")) { stop.countDown() }
@@ -40,19 +40,21 @@
             System.err.println("cannot listen: ${failure.message}")
             return ResultCode.BIND_FAILED.exitCode
         }
-        var known = modified()
+        var lastModified = modificationTime()
         while (!stop.await(SETTINGS_POLL_MILLIS, TimeUnit.MILLISECONDS)) {
-            val newest = modified()
-            if (newest != known) reload(daemon)
-            known = newest
+            val modified = modificationTime()
+            if (modified != lastModified) reload(daemon)
+            lastModified = modified
         }
         runBlocking { daemon.leave() }
         LogConfiguration.flush()
         return 0
     }
 
-    /** Returns when the settings file was written, or null while there is none; then the settings in force stay. */
-    private fun modified(): FileTime? =
+    /**
+     * Returns the modification time of the settings file, or null while it is missing; the settings in force then stay.
+     */
+    private fun modificationTime(): FileTime? =
         try {
             Files.getLastModifiedTime(Path.of(settingsPath))
         } catch (_: IOException) {
@@ -63,17 +65,17 @@
         try {
             daemon.reload(readSettings(settingsPath))
         } catch (unreadable: UnreadableDocumentException) {
-            daemon.keepSettings(unreadable.message)
+            daemon.reportUnreadableSettings(unreadable.message)
         } catch (failure: IOException) {
-            daemon.keepSettings(failure.message)
+            daemon.reportUnreadableSettings(failure.message)
         }
     }
 
     companion object {
-        /** Changed settings name the store's new address at most; a second without it costs nothing. */
+        /** A reload changes at most the address of the store, so a delay of one second does no harm. */
         private const val SETTINGS_POLL_MILLIS = 1_000L
 
-        /** Reads the settings file at [path], or throws with the name of the faulty field. */
+        /** Reads the settings file at [path]. Throws an exception that names the invalid field. */
         fun readSettings(path: String): InstanceSettings = SettingsCodec.decode(Files.readString(Path.of(path)))
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/backend/BackendConnection.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/backend/BackendConnection.kt
@@ -1,6 +1,6 @@
 /*
- * One connection to a backend server or to the platform's store. It carries one exchange at a time. Whatever goes wrong
- * ends the connection; a connection is used again only after a complete exchange with nothing left over.
+ * A client connection to a backend server or to the platform's store. It carries one exchange at a time. Any error
+ * closes the connection; it is reused only after a complete exchange that left no unread data.
  */
 package io.sequoiawheel.relay.backend
 
@@ -25,7 +25,7 @@
 import java.util.concurrent.ScheduledFuture
 import java.util.concurrent.TimeUnit
 
-/** Bytes that are no response in the protocol, or a response to another request. */
+/** Thrown when the received bytes are not a valid response, or are a response to another request. */
 internal class InvalidResponseException(
     message: String,
 ) : IOException(message)
@@ -33,19 +33,19 @@
 internal class BackendConnection(
     private val channel: Channel,
     private val clock: Clock,
-    private val memory: ResponseMemory,
+    private val memoryBudget: ResponseMemoryBudget,
 ) : ChannelInboundHandlerAdapter() {
     private val inbound = InboundQueue()
     private var isExchanging = false
-    private var sent: ChannelFuture? = null
+    private var requestWrite: ChannelFuture? = null
     private var idleSinceMillis = clock.nowMillis()
-    private var keepMillis = DEFAULT_KEEP_MILLIS
-    private var mayKeep = true
-    private var hasDecoded = false
+    private var keepAliveMillis = DEFAULT_KEEP_ALIVE_MILLIS
+    private var isPersistent = true
+    private var hasDecodedMessage = false
     private var isInResponse = false
     private var headTimeout: ScheduledFuture<*>? = null
 
-    /** Called with the head of each answer, also of those that answer no request of this side. */
+    /** Called with the head of each response, including responses that belong to no request of this connection. */
     var onHead: (HttpResponse) -> Unit = {}
 
     /** Whether at least one exchange was completed before. */
@@ -54,11 +54,11 @@
 
     val isOpen: Boolean get() = channel.isActive
 
-    /** How long the connection has been idle, in milliseconds. */
+    /** Time since the last exchange ended, in milliseconds. */
     val idleMillis: Long get() = clock.nowMillis() - idleSinceMillis
 
-    /** How long the peer keeps an idle connection, in milliseconds, less a margin for requests on their way. */
-    val usableIdleMillis: Long get() = keepMillis
+    /** Time that the peer keeps an idle connection open, in milliseconds, less a margin for a request in flight. */
+    val maximumIdleMillis: Long get() = keepAliveMillis
 
     override fun handlerAdded(context: ChannelHandlerContext) {
         inbound.attach(context.channel())
@@ -70,54 +70,54 @@
     ) {
         if (message is HttpResponse && message.decoderResult().isSuccess) onHead(message)
         if (!isExchanging) {
-            // Bytes that nothing asked for belong to no request.
+            // Data received outside an exchange belongs to no request.
             ReferenceCountUtil.release(message)
             abort()
             return
         }
-        hasDecoded = true
+        hasDecodedMessage = true
         if (message is HttpResponse) isInResponse = true
         if (message is LastHttpContent) isInResponse = false
         inbound.offer(message as HttpObject)
     }
 
-    /** Bytes that do not make a head within a bounded time are no response, also if they come without end. */
+    /** Starts a timeout for an incomplete response head, so that an endless stream of bytes fails the exchange. */
     override fun channelReadComplete(context: ChannelHandlerContext) {
-        val isPartialHead = isExchanging && !isInResponse && !hasDecoded
-        if (hasDecoded) stopHeadTimeout()
-        hasDecoded = false
+        val isPartialHead = isExchanging && !isInResponse && !hasDecodedMessage
+        if (hasDecodedMessage) cancelHeadTimeout()
+        hasDecodedMessage = false
         if (isPartialHead && headTimeout == null) {
-            val late = InvalidResponseException("a response head that takes more than $HEAD_LIMIT_MILLIS ms")
-            val fail = Runnable { exceptionCaught(context, late) }
-            headTimeout = context.executor().schedule(fail, HEAD_LIMIT_MILLIS, TimeUnit.MILLISECONDS)
+            val timeout = InvalidResponseException("response head incomplete after $HEAD_TIMEOUT_MILLIS ms")
+            val fail = Runnable { exceptionCaught(context, timeout) }
+            headTimeout = context.executor().schedule(fail, HEAD_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
         }
         context.fireChannelReadComplete()
     }
 
     override fun channelInactive(context: ChannelHandlerContext) {
-        stopHeadTimeout()
-        inbound.end()
+        cancelHeadTimeout()
+        inbound.close()
     }
 
     override fun exceptionCaught(
         context: ChannelHandlerContext,
         cause: Throwable,
     ) {
-        inbound.end(cause)
+        inbound.close(cause)
         context.close()
     }
 
-    /** Sends [request] whole. Returns when it is handed to the network, or throws if the connection is gone. */
+    /** Sends [request]. Returns once it is queued for writing, or throws if the connection is closed. */
     suspend fun send(request: FullHttpRequest) {
         if (!isOpen) {
             request.release()
             throw ConnectionEndedException("connection closed before the request was sent", isReset = false)
         }
         isExchanging = true
-        sent = channel.writeAndFlush(request)
+        requestWrite = channel.writeAndFlush(request)
     }
 
-    /** Returns the head of the response to [requestId]; responses to other requests before it are skipped. */
+    /** Returns the head of the response to [requestId], skipping earlier responses to other requests. */
     suspend fun receiveHead(requestId: String?): HttpResponse {
         repeat(MAXIMUM_HEADS) {
             val message = receiveMessage()
@@ -127,32 +127,32 @@
                 return@repeat
             }
             if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) return@repeat
-            noteKeeping(head)
-            val echoed = head.headers().get(Headers.REQUEST_ID)
-            if (requestId == null || echoed == requestId) return head
-            if (echoed == null) throw InvalidResponseException("a response that names no request")
-            mayKeep = false
+            updateKeepAlive(head)
+            val echoedId = head.headers().get(Headers.REQUEST_ID)
+            if (requestId == null || echoedId == requestId) return head
+            if (echoedId == null) throw InvalidResponseException("response without a request id")
+            isPersistent = false
             skipBody()
         }
-        throw InvalidResponseException("more than $MAXIMUM_HEADS heads that answer nothing")
+        throw InvalidResponseException("no response to the request within $MAXIMUM_HEADS messages")
     }
 
-    /** Returns the next part of the body; a [LastHttpContent] ends it. The caller releases it. */
+    /** Returns the next part of the body; the last one is a [LastHttpContent]. The caller must release it. */
     suspend fun receiveContent(): HttpContent {
         val message = receiveMessage()
         val content = message as? HttpContent
         if (content == null) {
             ReferenceCountUtil.release(message)
-            throw InvalidResponseException("a response began inside another")
+            throw InvalidResponseException("a response started within the body of another")
         }
         if (content is LastHttpContent && inbound.failure != null) {
             content.release()
-            throw ConnectionEndedException("connection was reset inside the response", isReset = true)
+            throw ConnectionEndedException("connection was reset within the response", isReset = true)
         }
         return content
     }
 
-    /** Reads the rest of the body, up to [limitBytes], and as far as the memory for all responses suffices. */
+    /** Reads the rest of the body. Throws if it exceeds [limitBytes] or the memory budget of all responses. */
     suspend fun receiveBody(limitBytes: Int = BODY_LIMIT_BYTES): ByteArray {
         val body = ByteArrayOutputStream()
         try {
@@ -163,37 +163,37 @@
                 val part = ByteArray(bytes)
                 content.content().readBytes(part)
                 content.release()
-                memory.take(bytes)
+                memoryBudget.reserve(bytes)
                 body.write(part)
                 if (body.size() > limitBytes) throw InvalidResponseException("response body exceeds $limitBytes bytes")
                 if (isLast) return body.toByteArray()
             }
         } finally {
-            memory.free(body.size())
+            memoryBudget.release(body.size())
         }
     }
 
-    /** Reads the short body of a failure or refusal. */
-    suspend fun receiveFailureBody(): ByteArray =
-        withTimeoutOrNull(FAILURE_BODY_LIMIT_MILLIS) { receiveBody(FAILURE_BODY_LIMIT_BYTES) }
-            ?: throw InvalidResponseException("the body of a failure takes more than $FAILURE_BODY_LIMIT_MILLIS ms")
+    /** Reads the body of an error response, which is short. */
+    suspend fun receiveErrorBody(): ByteArray =
+        withTimeoutOrNull(ERROR_BODY_TIMEOUT_MILLIS) { receiveBody(ERROR_BODY_LIMIT_BYTES) }
+            ?: throw InvalidResponseException("error body incomplete after $ERROR_BODY_TIMEOUT_MILLIS ms")
 
-    /** Reads past the body of a refusal. Returns why that is not possible, or null. */
-    suspend fun skipFailureBody(): String? =
+    /** Skips the body of an error response. Returns null, or the reason why the body could not be read. */
+    suspend fun skipErrorBody(): String? =
         try {
-            receiveFailureBody()
+            receiveErrorBody()
             null
         } catch (unreadable: IOException) {
             unreadable.message ?: unreadable.javaClass.simpleName
         }
 
-    /** Ends a complete exchange. Returns whether the connection may carry another one. */
+    /** Ends a complete exchange. Returns whether the connection can carry another one; if not, it is closed. */
     fun complete(): Boolean {
         isExchanging = false
         isReused = true
         idleSinceMillis = clock.nowMillis()
-        // What came after the response belongs to no request, and would be taken for the next response.
-        val reusable = mayKeep && isOpen && sent?.isSuccess == true && !inbound.hasWaiting
+        // Data after the response belongs to no request and would be mistaken for the next response.
+        val reusable = isPersistent && isOpen && requestWrite?.isSuccess == true && !inbound.hasUnread
         if (!reusable) close()
         return reusable
     }
@@ -204,7 +204,7 @@
         channel.close()
     }
 
-    /** Ends the connection at once, in the middle of whatever it carries. */
+    /** Resets the connection at once, even within an exchange. */
     fun abort() {
         inbound.discard()
         channel.reset()
@@ -215,7 +215,7 @@
         if (message.decoderResult().isFailure) {
             val cause = message.decoderResult().cause()
             ReferenceCountUtil.release(message)
-            throw InvalidResponseException("no response in the protocol: ${cause?.message}")
+            throw InvalidResponseException("malformed response: ${cause?.message}")
         }
         return message
     }
@@ -228,19 +228,19 @@
             skipped += content.content().readableBytes()
             content.release()
             if (isLast) return
-            if (skipped > BODY_LIMIT_BYTES) throw InvalidResponseException("a response to another request without end")
+            if (skipped > BODY_LIMIT_BYTES) throw InvalidResponseException("response to another request is too large")
         }
     }
 
-    private fun stopHeadTimeout() {
+    private fun cancelHeadTimeout() {
         headTimeout?.cancel(false)
         headTimeout = null
     }
 
-    private fun noteKeeping(head: HttpResponse) {
+    private fun updateKeepAlive(head: HttpResponse) {
         val headers = head.headers()
         val isFramed = HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head)
-        mayKeep = mayKeep && isFramed && HttpUtil.isKeepAlive(head)
+        isPersistent = isPersistent && isFramed && HttpUtil.isKeepAlive(head)
         val seconds =
             headers
                 .get(KEEP_ALIVE_HEADER)
@@ -248,7 +248,8 @@
                 ?.groupValues
                 ?.get(1)
                 ?.toLongOrNull()
-        keepMillis = if (seconds == null) DEFAULT_KEEP_MILLIS else seconds * MILLIS_PER_SECOND - KEEP_MARGIN_MILLIS
+        keepAliveMillis =
+            if (seconds == null) DEFAULT_KEEP_ALIVE_MILLIS else seconds * MILLIS_PER_SECOND - KEEP_ALIVE_MARGIN_MILLIS
         headers.remove(HttpHeaderNames.KEEP_ALIVE)
     }
 
@@ -257,25 +258,25 @@
         val KEEP_ALIVE_TIMEOUT = Regex("""timeout\s*=\s*(\d+)""")
         const val MILLIS_PER_SECOND = 1_000L
 
-        /** Peers that state no timeout may keep an idle connection for less than a second. */
-        const val DEFAULT_KEEP_MILLIS = 400L
+        /** Used for peers that state no timeout, since they may close an idle connection in less than a second. */
+        const val DEFAULT_KEEP_ALIVE_MILLIS = 400L
 
-        /** A request must arrive before the peer's timeout, which is stated in whole seconds. */
-        const val KEEP_MARGIN_MILLIS = 300L
+        /** A request must arrive before the peer's timeout expires; the timeout is stated in whole seconds. */
+        const val KEEP_ALIVE_MARGIN_MILLIS = 300L
 
-        /** Bounds the memory of one buffered response; the store's pages hold about a megabyte. */
+        /** Limits the memory of one buffered response; a page of a store listing takes about a megabyte. */
         const val BODY_LIMIT_BYTES = 8_388_608
 
-        /** Failures and refusals carry a line of text. */
-        const val FAILURE_BODY_LIMIT_BYTES = 262_144
+        /** Error responses carry one line of text. */
+        const val ERROR_BODY_LIMIT_BYTES = 262_144
 
-        /** A body follows its head within a round trip; the rest allows for a lost packet. */
-        const val FAILURE_BODY_LIMIT_MILLIS = 1_500L
+        /** A body follows its head within one round trip; the rest allows for a lost packet. */
+        const val ERROR_BODY_TIMEOUT_MILLIS = 1_500L
 
-        /** A head arrives in one packet or two; a lost packet is sent again within a second. */
-        const val HEAD_LIMIT_MILLIS = 2_000L
+        /** A head arrives in one or two packets; a lost packet is retransmitted within a second. */
+        const val HEAD_TIMEOUT_MILLIS = 2_000L
 
-        /** Informational responses and late responses to other requests before the one that is awaited. */
+        /** Limits the informational responses and late responses to other requests that precede the expected one. */
         const val MAXIMUM_HEADS = 32
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/backend/BackendPool.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/backend/BackendPool.kt
@@ -5,9 +5,9 @@
 import io.sequoiawheel.core.relay.Replica
 
 /**
- * Keeps idle connections to replicas for reuse, newest first. Confined to the event loop.
+ * Pools idle connections to replicas and reuses the most recent one first. Confined to the event loop.
  *
- * @param onHead called with the head of each answer that a replica gives
+ * @param onHead called with the head of each response of a replica
  */
 internal class BackendPool(
     private val connector: Connector,
@@ -15,22 +15,22 @@
 ) {
     private val idle = HashMap<Replica, ArrayDeque<BackendConnection>>()
 
-    /** Connections opened so far. */
+    /** Number of connections opened so far. */
     var opened = 0L
         private set
 
     /**
-     * Returns a connection to [replica].
+     * Returns an idle or a new connection to [replica].
      *
-     * @param mustBeRecent whether a connection that the peer may be closing just now is out of the question
+     * @param mustBeRecent whether to avoid idle connections that the peer may be about to close
      */
     suspend fun acquire(
         replica: Replica,
         mustBeRecent: Boolean,
     ): BackendConnection {
-        val kept = idle[replica]
-        while (!kept.isNullOrEmpty()) {
-            val connection = kept.removeLast()
+        val idleConnections = idle[replica]
+        while (!idleConnections.isNullOrEmpty()) {
+            val connection = idleConnections.removeLast()
             if (isUsable(connection, mustBeRecent)) return connection
             connection.close()
         }
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Runs [exchange] on a connection to [replica]. The connection is kept if the exchange was completed, else it is
-     * closed, since its response may still be under way.
+     * Runs [exchange] on a connection to [replica]. The connection returns to the pool if the exchange was completed;
+     * otherwise it is reset, since its response may still be in flight.
      */
     suspend fun <T> use(
         replica: Replica,
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Takes back a connection whose exchange is complete. */
+    /** Returns a connection whose exchange is complete to the pool. */
     fun release(
         replica: Replica,
         connection: BackendConnection,
@@ -67,13 +67,13 @@
             connection.close()
             return
         }
-        val kept = idle.getOrPut(replica) { ArrayDeque() }
-        kept.addLast(connection)
-        if (kept.size > MAXIMUM_IDLE) kept.removeFirst().close()
+        val idleConnections = idle.getOrPut(replica) { ArrayDeque() }
+        idleConnections.addLast(connection)
+        if (idleConnections.size > MAXIMUM_IDLE_CONNECTIONS) idleConnections.removeFirst().close()
     }
 
-    /** Closes connections that have been idle too long, and all of replicas that are not in [known]. */
-    fun sweep(known: Set<Replica>) {
+    /** Closes connections that have been idle too long, and all connections to replicas that are not in [known]. */
+    fun evictIdle(known: Set<Replica>) {
         idle.entries.removeIf { (replica, connections) ->
             connections.removeIf { connection ->
                 val expired = replica !in known || !isUsable(connection, mustBeRecent = false)
@@ -88,13 +88,13 @@
         connection: BackendConnection,
         mustBeRecent: Boolean,
     ): Boolean {
-        val limitMillis = connection.usableIdleMillis
+        val limitMillis = connection.maximumIdleMillis
         val allowedMillis = if (mustBeRecent) limitMillis / 2 else limitMillis
         return connection.isOpen && connection.idleMillis <= allowedMillis
     }
 
     private companion object {
-        /** Idle connections kept for one replica. */
-        const val MAXIMUM_IDLE = 16
+        /** Maximum number of idle connections per replica. */
+        const val MAXIMUM_IDLE_CONNECTIONS = 16
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/backend/ConnectionLease.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/backend/ConnectionLease.kt
@@ -1,10 +1,10 @@
 package io.sequoiawheel.relay.backend
 
-/** A connection lent for one exchange; its owner takes it back. */
+/** A connection borrowed from the pool for one exchange. */
 internal class ConnectionLease(
     val connection: BackendConnection,
 ) {
-    /** Whether the whole response was read, so that the connection may serve another exchange. */
+    /** Whether the whole response was read, so that the connection can be reused. */
     var isComplete = false
         private set
 
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/backend/Connector.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/backend/Connector.kt
@@ -13,18 +13,18 @@
 import jdk.net.ExtendedSocketOptions
 import java.io.IOException
 
-/** No connection could be opened, so nothing was sent. */
+/** Thrown when no connection could be opened, so that no part of the request was sent. */
 internal class ConnectFailedException(
     endpoint: Endpoint,
     cause: IOException,
 ) : IOException("cannot connect to $endpoint: ${cause.message}", cause)
 
-/** Opens connections from one event loop. Silent peers are found by keep-alive probes of the transport. */
+/** Opens connections on one event loop. TCP keep-alive probes detect unresponsive peers. */
 internal class Connector(
     eventLoop: EventLoop,
     private val clock: Clock,
 ) {
-    private val memory = ResponseMemory()
+    private val memoryBudget = ResponseMemoryBudget()
     private val bootstrap =
         Bootstrap()
             .group(eventLoop)
@@ -39,7 +39,7 @@
                 object : ChannelInitializer<Channel>() {
                     override fun initChannel(channel: Channel) {
                         channel.pipeline().addLast(HttpClientCodec())
-                        channel.pipeline().addLast(BackendConnection(channel, clock, memory))
+                        channel.pipeline().addLast(BackendConnection(channel, clock, memoryBudget))
                     }
                 },
             )
@@ -58,10 +58,13 @@
     }
 
     private companion object {
-        /** Round trips take a few milliseconds; a lost opening packet is sent again after a second. */
+        /** A round trip takes a few milliseconds; a lost SYN would be retransmitted only after a second. */
         const val CONNECT_TIMEOUT_MILLIS = 700
 
-        /** A silent connection is found after idle time + interval x probes, about the time that counts as contact. */
+        /**
+         * An unresponsive connection is detected after idle time + interval x probes, which is about the contact bound
+         * of the settings.
+         */
         const val KEEP_ALIVE_IDLE_SECONDS = 1
         const val KEEP_ALIVE_INTERVAL_SECONDS = 1
         const val KEEP_ALIVE_PROBES = 2
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/backend/InboundQueue.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/backend/InboundQueue.kt
@@ -7,63 +7,63 @@
 import io.netty.util.ReferenceCountUtil
 import kotlinx.coroutines.channels.ClosedReceiveChannelException
 import java.io.IOException
-import kotlinx.coroutines.channels.Channel as Mailbox
+import kotlinx.coroutines.channels.Channel as CoroutineChannel
 
-/** The connection ended before the message did. [isReset] tells a reset from an orderly end. */
+/** Thrown when the connection ended before the message was complete. [isReset] distinguishes a reset from a close. */
 internal class ConnectionEndedException(
     message: String,
     val isReset: Boolean,
 ) : IOException(message)
 
 /**
- * Hands decoded messages from a Netty handler to a coroutine on the same event loop. Reading from the socket pauses
- * while more than a bounded number of bytes waits.
+ * Passes decoded messages from a Netty handler to a coroutine on the same event loop. Applies backpressure: reading
+ * from the socket pauses while too many bytes are queued.
  */
 internal class InboundQueue {
-    private val mailbox = Mailbox<HttpObject>(Mailbox.UNLIMITED)
-    private var waitingBytes = 0L
+    private val messages = CoroutineChannel<HttpObject>(CoroutineChannel.UNLIMITED)
+    private var queuedBytes = 0L
     private var channel: Channel? = null
 
-    /** Whether a reset or a failure ended the connection. */
+    /** The reset or error that ended the connection, or null. */
     var failure: Throwable? = null
         private set
 
-    /** Whether messages wait that nobody has read. */
-    val hasWaiting: Boolean get() = !mailbox.isEmpty
+    /** Whether the queue holds unread messages. */
+    val hasUnread: Boolean get() = !messages.isEmpty
 
     fun attach(channel: Channel) {
         this.channel = channel
     }
 
     fun offer(message: HttpObject) {
-        waitingBytes += sizeOf(message)
-        if (mailbox.trySend(message).isFailure) ReferenceCountUtil.release(message)
-        if (waitingBytes > PAUSE_BYTES) channel?.config()?.isAutoRead = false
+        queuedBytes += sizeOf(message)
+        if (messages.trySend(message).isFailure) ReferenceCountUtil.release(message)
+        if (queuedBytes > PAUSE_BYTES) channel?.config()?.isAutoRead = false
     }
 
     suspend fun receive(): HttpObject {
         val message =
             try {
-                mailbox.receive()
+                messages.receive()
             } catch (closed: ClosedReceiveChannelException) {
                 throw ConnectionEndedException(failure?.message ?: "connection closed", failure != null)
             }
-        waitingBytes -= sizeOf(message)
-        if (waitingBytes <= PAUSE_BYTES / 2) channel?.config()?.let { if (!it.isAutoRead) it.isAutoRead = true }
+        queuedBytes -= sizeOf(message)
+        if (queuedBytes <= PAUSE_BYTES / 2) channel?.config()?.let { if (!it.isAutoRead) it.isAutoRead = true }
         return message
     }
 
-    /** Ends the queue; what was received before stays readable unless the connection failed. */
-    fun end(cause: Throwable? = null) {
+    /** Closes the queue. Messages received before can still be read; after them, [receive] throws. */
+    fun close(cause: Throwable? = null) {
         if (cause != null && failure == null) failure = cause
-        mailbox.close()
+        messages.close()
     }
 
-    /** Releases everything that nobody will read. */
+    /** Closes the queue and releases the unread messages. */
     fun discard() {
-        mailbox.close()
+        messages.close()
         while (true) {
-            ReferenceCountUtil.release(mailbox.tryReceive().getOrNull() ?: return)
+            ReferenceCountUtil.release(messages.tryReceive().getOrNull() ?: return)
         }
     }
 
@@ -73,7 +73,7 @@
     }
 
     private companion object {
-        /** Bytes that may wait for a slow reader before the socket is paused. */
+        /** Reading from the socket pauses above this number of queued bytes, and resumes at half of it. */
         const val PAUSE_BYTES = 131_072
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/backend/NettyFutures.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/backend/NettyFutures.kt
@@ -8,7 +8,7 @@
 import kotlin.coroutines.resume
 import kotlin.coroutines.resumeWithException
 
-/** Waits for the future. Throws its failure as an [IOException]. */
+/** Suspends until the future is done. Throws its failure as an [IOException]. */
 internal suspend fun ChannelFuture.awaitDone() {
     if (isDone) {
         if (isSuccess) return
@@ -25,7 +25,7 @@
     }
 }
 
-/** Closes the channel so that the peer sees a reset, which also discards what is queued. */
+/** Closes the channel with a TCP reset, which also discards data that is queued for sending. */
 internal fun Channel.reset() {
     if (isOpen) {
         runCatching { config().setOption(ChannelOption.SO_LINGER, 0) }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/ChangeHub.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/ChangeHub.kt
@@ -10,125 +10,130 @@
 import io.sequoiawheel.platform.StoreKind
 import io.sequoiawheel.platform.StoreProtocol
 import io.sequoiawheel.platform.WatchQuery
-import io.sequoiawheel.relay.http.StatusAnswer
+import io.sequoiawheel.relay.http.StatusResponse
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.withTimeoutOrNull
 
-/** The changes of one kind that this instance read from the store, for other instances of its zone. */
+/** The changes to one kind of object that this instance read from the store, served to other instances of its zone. */
 internal class ChangeFeed(
     val kind: StoreKind,
 ) {
     private val history = ChangeHistory<StoreEvent>()
-    private var advanced = CompletableDeferred<Unit>()
+    private var advance = CompletableDeferred<Unit>()
 
-    /** The store's era that the revisions belong to. */
+    /** The era of the store that the revisions belong to. */
     var era: Long? = null
         private set
 
-    /** Whether the store is watched and answers. */
+    /** Whether this instance watches the store and the store responds. */
     var isServing = false
         private set
 
-    /** When what is known was last proven to be the newest, or null. */
-    var proof: Instant? = null
+    /** The last time at which the recorded state was confirmed to be the current one, or null. */
+    var confirmedAt: Instant? = null
         private set
 
     val revision: Long get() = history.revision
 
-    /** Starts with a listing as of [revision] in [era], the newest state at [asOf]. */
-    fun listed(
+    /** Restarts the feed from a listing at [revision] of [era], which was the current state at [asOf]. */
+    fun restart(
         revision: Long,
         asOf: Instant?,
         era: Long?,
     ) {
         this.era = era
         history.restart(revision)
-        proof = asOf
+        confirmedAt = asOf
         isServing = true
-        wake()
+        notifyWaiters()
     }
 
-    /** Starts, or goes on, after [revision], from which the store is watched now; it was the newest state at [asOf]. */
+    /**
+     * Starts the feed after [revision], from which the store is now watched, unless it is serving already. The state
+     * was the current one at [asOf].
+     */
     fun resume(
         revision: Long,
         asOf: Instant?,
         era: Long?,
     ) {
-        if (!isServing) listed(revision, asOf, era)
+        if (!isServing) restart(revision, asOf, era)
     }
 
-    /** Adds the response to a watch that followed the last call. */
-    fun changed(
+    /** Appends the response to a watch that started at the last recorded revision. */
+    fun append(
         changes: StoreChanges,
         asOf: Instant,
     ) {
         resume(changes.revision, asOf, changes.era)
         history.append(changes.revision, changes.events)
-        proof = asOf
-        wake()
+        confirmedAt = asOf
+        notifyWaiters()
     }
 
-    /** Ends all waiting calls: the store does not answer, or is not watched any more. */
+    /** Stops serving and ends all waiting calls: the store does not respond, or this instance no longer watches it. */
     fun stop() {
         if (!isServing) return
         isServing = false
-        proof = null
-        wake()
+        confirmedAt = null
+        notifyWaiters()
     }
 
-    /** Returns the changes after [revision], or null if they are not kept. */
+    /** Returns the changes after [revision], or null if the history no longer holds them. */
     fun after(revision: Long): List<StoreEvent>? = history.after(revision)
 
-    /** Waits until something about the feed changes. */
-    suspend fun awaitAdvance() = advanced.await()
+    /** Waits until the feed receives changes, is confirmed as current, or stops. */
+    suspend fun awaitAdvance() = advance.await()
 
-    private fun wake() {
-        val previous = advanced
-        advanced = CompletableDeferred()
+    private fun notifyWaiters() {
+        val previous = advance
+        advance = CompletableDeferred()
         previous.complete(Unit)
     }
 }
 
 /**
- * Answers the watches of other instances from what this one reads of the store, in the store's own format. A response
- * says how long after the receipt of the request, or before it, the state was proven to be the newest. Confined to the
- * event loop.
+ * Serves watch requests of other instances from the changes that this one read from the store, in the store's own
+ * format. A response states when the state was last confirmed as current, as an offset in milliseconds from the receipt
+ * of the request. Confined to the event loop.
  */
 internal class ChangeHub(
     private val feeds: Map<StoreKind, ChangeFeed>,
     private val selection: HubSelection,
     private val freshness: Freshness,
 ) {
-    /** Answers the request for [uri]. */
-    suspend fun answer(uri: String): StatusAnswer {
-        val query = StoreProtocol.parseWatch(uri) ?: return StatusAnswer(HttpResponseStatus.NOT_FOUND)
-        val feed = feeds[query.kind] ?: return StatusAnswer(HttpResponseStatus.NOT_FOUND)
-        if (!feed.isServing) return StatusAnswer(HttpResponseStatus.SERVICE_UNAVAILABLE)
+    /** Handles a watch request for [uri]. */
+    suspend fun handle(uri: String): StatusResponse {
+        val query = StoreProtocol.parseWatch(uri) ?: return StatusResponse(HttpResponseStatus.NOT_FOUND)
+        val feed = feeds[query.kind] ?: return StatusResponse(HttpResponseStatus.NOT_FOUND)
+        if (!feed.isServing) return StatusResponse(HttpResponseStatus.SERVICE_UNAVAILABLE)
         selection.asked()
         val received = freshness.now()
         withTimeoutOrNull(query.waitMillis) {
-            while (feed.isServing && !isDue(feed, query, received)) feed.awaitAdvance()
+            while (feed.isServing && !isResponseDue(feed, query, received)) feed.awaitAdvance()
         }
-        if (!feed.isServing) return StatusAnswer(HttpResponseStatus.SERVICE_UNAVAILABLE)
-        val kept = feed.takeIf { it.era == query.era }?.after(query.revision)
-        val events = kept ?: return StatusAnswer(HttpResponseStatus.GONE)
+        if (!feed.isServing) return StatusResponse(HttpResponseStatus.SERVICE_UNAVAILABLE)
+        val retained = feed.takeIf { it.era == query.era }?.after(query.revision)
+        val events = retained ?: return StatusResponse(HttpResponseStatus.GONE)
         val changes =
             StoreChanges(
                 events,
                 maxOf(feed.revision, query.revision),
-                feed.proof?.let { freshness.offsetMillis(received, it) },
+                feed.confirmedAt?.let { freshness.offsetMillis(received, it) },
                 feed.era,
             )
-        return StatusAnswer(HttpResponseStatus.OK, StoreProtocol.encodeChanges(changes))
+        return StatusResponse(HttpResponseStatus.OK, StoreProtocol.encodeChanges(changes))
     }
 
-    private fun isDue(
+    private fun isResponseDue(
         feed: ChangeFeed,
         query: WatchQuery,
         received: Instant,
     ): Boolean {
         if (feed.era != query.era) return true
-        val isProven = feed.proof?.let { it.monotonicMillis > received.monotonicMillis } ?: false
-        return feed.after(query.revision)?.isEmpty() != true || isProven && query.kind == StoreKind.CONFIGURATION
+        val isConfirmedSinceRequest = feed.confirmedAt?.let { it.monotonicMillis > received.monotonicMillis } ?: false
+        return feed.after(query.revision)?.isEmpty() != true ||
+            isConfirmedSinceRequest &&
+            query.kind == StoreKind.CONFIGURATION
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/ChangeSources.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/ChangeSources.kt
@@ -11,7 +11,10 @@
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.withTimeoutOrNull
 
-/** Where changes of the store are read: from the store, or from the hub of the own zone. Confined to the event loop. */
+/**
+ * Selects the source of store changes: the store itself, or the hub of this instance's zone. Confined to the event
+ * loop.
+ */
 internal class ChangeSources(
     val store: StoreClient,
     private val connector: Connector,
@@ -19,56 +22,59 @@
     private val eras: StoreEras,
     private val log: DecisionLog,
 ) {
-    /** The newest era of the store. */
+    /** The newest known era of the store. */
     val era: Long? get() = eras.current
 
     private var clients = emptyMap<Peer, StoreClient>()
-    private var lastHub: Peer? = null
-    private var regained: CompletableDeferred<Unit>? = null
-    private val peersKnown = CompletableDeferred<Unit>()
+    private var previousHub: Peer? = null
+    private var storeRecovery: CompletableDeferred<Unit>? = null
+    private val peerDiscovery = CompletableDeferred<Unit>()
 
-    /** Whether other instances rely on this one. */
+    /** Whether other instances watch this one instead of the store. */
     val isHub: Boolean get() = selection.isAsked
 
-    /** Records that the store does not answer, or that it does again. */
-    fun pathIsLost(isLost: Boolean) {
-        if (isLost) {
-            regained = regained ?: CompletableDeferred()
+    /** Records that the store stopped responding, or that it responds again. */
+    fun setStoreUnreachable(isUnreachable: Boolean) {
+        if (isUnreachable) {
+            storeRecovery = storeRecovery ?: CompletableDeferred()
         } else {
-            regained?.complete(Unit)
-            regained = null
+            storeRecovery?.complete(Unit)
+            storeRecovery = null
         }
     }
 
-    /** Records that the other instances were listed. */
-    fun peersAreKnown() {
-        peersKnown.complete(Unit)
+    /** Records that the list of the other instances was read. */
+    fun completePeerDiscovery() {
+        peerDiscovery.complete(Unit)
     }
 
     /**
-     * Waits until the other instances are known, but no longer than [limitMillis]: with a hub known from the start, no
-     * watch is sent to the store first.
+     * Waits until the other instances are known, but no longer than [limitMillis]. An instance that knows its hub from
+     * the start sends no watch to the store first.
      */
-    suspend fun awaitPeers(limitMillis: Long) {
-        withTimeoutOrNull(limitMillis) { peersKnown.await() }
+    suspend fun awaitPeerDiscovery(limitMillis: Long) {
+        withTimeoutOrNull(limitMillis) { peerDiscovery.await() }
     }
 
-    /** Waits while the path to the store is lost, but no longer than [limitMillis]. */
-    suspend fun awaitPath(limitMillis: Long) {
-        withTimeoutOrNull(limitMillis) { regained?.await() }
+    /** Waits until the store responds again, but no longer than [limitMillis]. */
+    suspend fun awaitStoreRecovery(limitMillis: Long) {
+        withTimeoutOrNull(limitMillis) { storeRecovery?.await() }
     }
 
-    /** Returns the hub to watch, or null if the store is to be watched. */
-    fun hub(): Peer? {
+    /** Returns the hub to watch, or null if this instance must watch the store. */
+    fun currentHub(): Peer? {
         val hub = selection.current()
-        if (hub != lastHub) {
-            log.belief("watching", mapOf("source" to (hub?.name ?: "store"), "before" to (lastHub?.name ?: "store")))
-            lastHub = hub
+        if (hub != previousHub) {
+            log.stateChange(
+                "watching",
+                mapOf("source" to (hub?.name ?: "store"), "before" to (previousHub?.name ?: "store")),
+            )
+            previousHub = hub
         }
         return hub
     }
 
-    /** Returns what [hub] knows after [revision] of [era]. */
+    /** Returns the changes after [revision] of [era] that [hub] recorded. */
     suspend fun watch(
         hub: Peer,
         kind: StoreKind,
@@ -81,11 +87,11 @@
         return client.watchPeer(kind, revision, waitMillis, era)
     }
 
-    /** Records that [hub] cannot be relied on; this instance watches the store for a while. */
-    fun failed(
+    /** Records that [hub] failed or is out of date; this instance then watches the store for a while. */
+    fun reportHubFailure(
         hub: Peer,
         failure: StoreFailure,
     ) {
-        if (selection.failed(hub)) log.dependency("hub lost", mapOf("hub" to hub.name, "detail" to failure.detail))
+        if (selection.failed(hub)) log.dependency("hub failed", mapOf("hub" to hub.name, "detail" to failure.detail))
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/ConfigurationController.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/ConfigurationController.kt
@@ -18,7 +18,10 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeoutOrNull
 
-/** Holds the configuration in force, which [ConfigurationOrder] decides. Confined to the event loop. */
+/**
+ * Holds the configuration in force. [ConfigurationOrder] decides whether a version read from the store replaces it.
+ * Confined to the event loop.
+ */
 internal class ConfigurationController(
     private val store: StoreClient,
     private val freshness: Freshness,
@@ -26,16 +29,16 @@
     private val scope: CoroutineScope,
     private val log: DecisionLog,
 ) : KindListener {
-    /** The configuration in force, or null before the first. */
+    /** The configuration in force, or null until the first one was read. */
     var current: RelayConfiguration? = null
         private set
 
     private var era: Long? = null
     private var isReadable = true
     private var refresh: Job? = null
-    private var proofAwaited = CompletableDeferred<Unit>()
+    private var freshnessConfirmed = CompletableDeferred<Unit>()
 
-    override fun listed(
+    override fun onListed(
         listing: StoreListing,
         standing: ListStanding,
     ) {
@@ -44,78 +47,81 @@
         listing.objects.firstOrNull { it.name == StoreProtocol.CONFIGURATION_NAME }?.let(::apply)
     }
 
-    override fun changed(
+    override fun onChanged(
         event: StoreEvent,
         afterOutage: Boolean,
     ) {
         if (event.target.name != StoreProtocol.CONFIGURATION_NAME) return
         if (event.isDeleted) {
-            log.belief("configuration deleted, kept in force", mapOf("version" to current?.version))
+            log.stateChange("configuration deleted, last version kept in force", mapOf("version" to current?.version))
         } else {
             apply(event.target)
         }
     }
 
-    override fun proven(asOf: Instant) {
+    override fun onConfirmed(asOf: Instant) {
         if (!isReadable || !order.isProof(asOf.monotonicMillis)) return
         freshness.proven(asOf)
-        if (freshness.isFresh()) proofAwaited.complete(Unit)
+        if (freshness.isFresh()) freshnessConfirmed.complete(Unit)
     }
 
-    /** Waits a moment for a proof that the configuration is fresh, reading the store if a clock's step withdrew it. */
+    /**
+     * Waits up to [CONFIRMATION_WAIT_MILLIS] for a confirmation that the configuration is current, and reads the store
+     * for it, since a clock step may have invalidated the last one. Returns whether the configuration is fresh.
+     */
     suspend fun awaitFresh(): Boolean {
         if (freshness.isFresh()) return true
-        if (refresh?.isActive != true) refresh = scope.launch { readNow() }
-        if (proofAwaited.isCompleted) proofAwaited = CompletableDeferred()
-        withTimeoutOrNull(PROOF_WAIT_MILLIS) { proofAwaited.await() }
+        if (refresh?.isActive != true) refresh = scope.launch { readFromStore() }
+        if (freshnessConfirmed.isCompleted) freshnessConfirmed = CompletableDeferred()
+        withTimeoutOrNull(CONFIRMATION_WAIT_MILLIS) { freshnessConfirmed.await() }
         return freshness.isFresh()
     }
 
-    private suspend fun readNow() {
+    private suspend fun readFromStore() {
         val asOf = freshness.now()
         store.list(StoreKind.CONFIGURATION).map {
-            listed(it, ListStanding.CERTAIN)
-            proven(asOf)
+            onListed(it, ListStanding.CERTAIN)
+            onConfirmed(asOf)
         }
     }
 
     private fun apply(target: StoreObject) {
         val decoded =
             try {
-                ConfigurationCodec.decode(target.spec ?: throw UnreadableDocumentException("spec is no object"))
+                ConfigurationCodec.decode(target.spec ?: throw UnreadableDocumentException("spec is not an object"))
             } catch (unreadable: UnreadableDocumentException) {
                 isReadable = false
-                log.belief(
-                    "configuration unreadable, older one kept in force",
+                log.stateChange(
+                    "configuration unreadable, previous version kept in force",
                     mapOf("revision" to target.revision, "detail" to unreadable.message),
                 )
                 return
             }
         isReadable = true
-        val before = current
+        val previous = current
         if (!order.shown(era, target.revision, decoded.version)) {
-            if (before != null && decoded.version < before.version) {
-                log.belief(
-                    "older configuration shown, newer one kept in force",
-                    mapOf("shown" to decoded.version, "version" to before.version, "era" to era),
+            if (previous != null && decoded.version < previous.version) {
+                log.stateChange(
+                    "store returned an older configuration, newer version kept in force",
+                    mapOf("shown" to decoded.version, "version" to previous.version, "era" to era),
                 )
             }
             return
         }
         current = decoded
-        log.belief(
+        log.stateChange(
             "configuration in force",
             mapOf(
                 "version" to decoded.version,
                 "revision" to target.revision,
                 "era" to era,
-                "before" to before?.version,
+                "before" to previous?.version,
             ),
         )
     }
 
     private companion object {
-        /** The store answers in 4 ms; when it is slow, in under 300 ms. */
-        const val PROOF_WAIT_MILLIS = 350L
+        /** The store responds within 4 ms, and within 300 ms when it is slow. */
+        const val CONFIRMATION_WAIT_MILLIS = 350L
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/KindWatcher.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/KindWatcher.kt
@@ -20,29 +20,34 @@
 import kotlinx.coroutines.ensureActive
 import org.apache.commons.rng.UniformRandomProvider
 
-/** What a watcher tells the controller of a kind. */
+/** Receives the state of one kind of store object, and its changes, from a [KindWatcher]. */
 internal interface KindListener {
-    /** All objects of the kind. [standing] says whether entries may be missing or out of date. */
-    fun listed(
+    /** Called with all objects of the kind. [standing] says whether entries may be missing or out of date. */
+    fun onListed(
         listing: StoreListing,
         standing: ListStanding,
     )
 
-    fun changed(
+    /** Called for each change. [afterOutage] is true if the store was unavailable until a moment ago. */
+    fun onChanged(
         event: StoreEvent,
         afterOutage: Boolean,
     )
 
-    /** What was told so far was the newest state at [asOf] or later. */
-    fun proven(asOf: Instant) = Unit
+    /** Called when the state reported so far is known to have been the current one at [asOf] or later. */
+    fun onConfirmed(asOf: Instant) = Unit
 }
 
 /**
- * Follows one kind of the store: lists it, then watches it from the listing's revision on, at the store or at the
- * hub of the zone. A watch that fails is repeated from where it was; only a lost history or a new era of the store
- * makes it list again. What the store itself says is offered to other instances by [feed]. Confined to the event loop.
+ * Tracks one kind of store object: lists it, then watches it from the revision of the listing, at the store or at the
+ * hub of the zone. A failed watch is repeated from the last revision; only a truncated history or a new era of the
+ * store causes a new listing. Changes read from the store itself are published to other instances through [feed].
+ * Confined to the event loop.
  *
- * @param onFailure called at each failed call; a watcher with short waits finds a lost path for those with long ones
+ * The watcher of the configuration also acts as the probe of the store: its waits are short, so it detects an
+ * unreachable store for the watchers with long waits.
+ *
+ * @param onFailure called after each failed call
  */
 internal class KindWatcher(
     private val sources: ChangeSources,
@@ -56,43 +61,43 @@
 ) {
     private val kind = feed.kind
     private val isProbe = kind == StoreKind.CONFIGURATION
-    private val backoff = Backoff(FIRST_BACKOFF_MILLIS, LAST_BACKOFF_MILLIS)
+    private val backoff = Backoff(INITIAL_BACKOFF_MILLIS, MAXIMUM_BACKOFF_MILLIS)
 
-    /** Whether the kind was listed once. */
+    /** Whether the kind was listed at least once. */
     var isListed = false
         private set
 
-    private var failures = 0
+    private var consecutiveFailures = 0
     private var outageEndedMillis: Long? = null
     private var era: Long? = null
-    private var lastProof: Instant? = null
-    private var waiting: Deferred<Either<StoreFailure, StoreChanges>>? = null
+    private var lastConfirmedAt: Instant? = null
+    private var pendingWatch: Deferred<Either<StoreFailure, StoreChanges>>? = null
 
-    /** Follows the kind until cancelled. */
+    /** Lists and watches the kind until cancelled. */
     suspend fun run() {
         while (true) {
             val asOf = freshness.now()
-            val listing = sources.store.list(kind).fold({ failed(it).let { null } }, { it })
+            val listing = sources.store.list(kind).fold({ recordFailure(it).let { null } }, { it })
             if (listing == null) {
-                stopLostFeed()
-                pause()
+                stopFeedIfStoreLost()
+                awaitRetry()
                 continue
             }
-            succeeded()
-            listener.listed(listing, standing(listing.era))
+            recordSuccess()
+            listener.onListed(listing, standing(listing.era))
             isListed = true
             era = listing.era
-            listener.proven(asOf)
-            lastProof = asOf
-            feed.listed(listing.revision, asOf, era)
-            sources.awaitPeers(PEERS_LIMIT_MILLIS)
+            listener.onConfirmed(asOf)
+            lastConfirmedAt = asOf
+            feed.restart(listing.revision, asOf, era)
+            sources.awaitPeerDiscovery(PEER_DISCOVERY_TIMEOUT_MILLIS)
             watchFrom(listing.revision)
         }
     }
 
-    /** Ends a watch that waits, and starts it anew on another connection. */
+    /** Cancels the pending watch, which is then repeated on another connection. */
     fun interrupt() {
-        waiting?.cancel()
+        pendingWatch?.cancel()
     }
 
     private fun standing(listedEra: Long?) =
@@ -102,74 +107,75 @@
             else -> ListStanding.CERTAIN
         }
 
-    /** Watches until the history is lost, or the store came back from an older copy. */
+    /** Watches until the history after the last revision is gone, or the store was restored from an older copy. */
     private suspend fun watchFrom(start: Long) {
         var revision = start
         while (sources.era == era) {
-            val hub = sources.hub()
+            val hub = sources.currentHub()
             if (hub != null) {
                 feed.stop()
                 revision = watchHub(hub, revision, isJustListed = revision == start) ?: return
                 continue
             }
-            if (failures < FAILURES_OF_A_LOST_STORE) feed.resume(revision, lastProof, era)
+            if (consecutiveFailures < STORE_LOST_FAILURES) feed.resume(revision, lastConfirmedAt, era)
             val asOf = freshness.now()
-            val waitMillis = waitMillis(isProofNeededSoon = sources.isHub)
+            val waitMillis = waitMillis(isForHub = sources.isHub)
             val changes =
                 watch { sources.store.watch(kind, revision, waitMillis) }.fold({ failure ->
                     if (failure is StoreFailure.HistoryGone) {
-                        log.belief("store history lost", mapOf("kind" to kind.name, "revision" to revision))
+                        log.stateChange("store history truncated", mapOf("kind" to kind.name, "revision" to revision))
                         return
                     }
-                    failed(failure)
-                    stopLostFeed()
+                    recordFailure(failure)
+                    stopFeedIfStoreLost()
                     null
                 }, { it })
             if (changes == null) {
-                pause()
+                awaitRetry()
                 continue
             }
-            succeeded()
+            recordSuccess()
             if (changes.era != era || sources.era != era) return
             revision = changes.revision
-            // Without events the store answers at the end of the wait, so nothing had changed until then.
-            val proof = if (changes.events.isEmpty()) asOf.plus(waitMillis) else asOf
-            apply(changes, proof)
-            feed.changed(changes, proof)
-            if (changes.events.isNotEmpty()) delay(GATHER_MILLIS)
+            // A response without events is sent at the end of the wait, so nothing changed until then.
+            val confirmedAt = if (changes.events.isEmpty()) asOf.plus(waitMillis) else asOf
+            apply(changes, confirmedAt)
+            feed.append(changes, confirmedAt)
+            if (changes.events.isNotEmpty()) delay(CHANGE_BATCH_MILLIS)
         }
     }
 
-    private fun stopLostFeed() {
-        if (failures >= FAILURES_OF_A_LOST_STORE) feed.stop()
+    private fun stopFeedIfStoreLost() {
+        if (consecutiveFailures >= STORE_LOST_FAILURES) feed.stop()
     }
 
-    /** Watches [hub] once, and returns the revision that is known then, or null if the kind has to be listed anew. */
+    /** Sends one watch to [hub]. Returns the last known revision, or null if the kind has to be listed again. */
     private suspend fun watchHub(
         hub: Peer,
         revision: Long,
         isJustListed: Boolean,
     ): Long? {
         val asOf = freshness.now()
-        val waitMillis = waitMillis(isProofNeededSoon = true)
+        val waitMillis = waitMillis(isForHub = true)
         val changes =
             watch { sources.watch(hub, kind, revision, waitMillis, era) }
                 .getOrElse { failure ->
                     if (failure is StoreFailure.HistoryGone && !isJustListed) return null
-                    sources.failed(hub, failure)
+                    sources.reportHubFailure(hub, failure)
                     onFailure()
-                    // The hub may have lost the store together with the replicas' entries.
+                    // The hub may have failed because the store is down, which also lets the replicas' entries expire.
                     outageEndedMillis = freshness.now().monotonicMillis
                     return revision
                 }
-        succeeded()
-        // Another call may have met a newer era while this response was under way.
+        recordSuccess()
+        // Another call may have observed a newer era while this response was in flight.
         if (sources.era != era) return null
-        val proof = changes.proofOffsetMillis?.let { asOf.plus(it) }
-        apply(changes, proof)
-        val isStale = proof == null || freshness.now().monotonicMillis - proof.monotonicMillis > STALE_HUB_MILLIS
+        val confirmedAt = changes.proofOffsetMillis?.let { asOf.plus(it) }
+        apply(changes, confirmedAt)
+        val isStale =
+            confirmedAt == null || freshness.now().monotonicMillis - confirmedAt.monotonicMillis > STALE_HUB_MILLIS
         if (isProbe && isStale) {
-            sources.failed(hub, StoreFailure.Unavailable("its state is not proven"))
+            sources.reportHubFailure(hub, StoreFailure.Unavailable("state not confirmed as current"))
             onFailure()
         }
         return changes.revision
@@ -177,23 +183,26 @@
 
     private fun apply(
         changes: StoreChanges,
-        proof: Instant?,
+        confirmedAt: Instant?,
     ) {
-        changes.events.forEach { listener.changed(it, isAfterOutage()) }
-        lastProof = proof ?: lastProof
-        if (proof != null) listener.proven(proof)
+        changes.events.forEach { listener.onChanged(it, isAfterOutage()) }
+        lastConfirmedAt = confirmedAt ?: lastConfirmedAt
+        if (confirmedAt != null) listener.onConfirmed(confirmedAt)
     }
 
-    /** Returns how long an answer may wait. Between a hub and those who rely on it, the probe's proof comes sooner. */
-    private fun waitMillis(isProofNeededSoon: Boolean) =
-        if (isProbe && isProofNeededSoon) minOf(waitMillis, HUB_PROOF_MILLIS) else waitMillis
+    /**
+     * Returns how long the response to a watch may be delayed. The probe uses a shorter wait between a hub and the
+     * instances that watch it.
+     */
+    private fun waitMillis(isForHub: Boolean) =
+        if (isProbe && isForHub) minOf(waitMillis, HUB_WAIT_MILLIS) else waitMillis
 
     private suspend fun watch(
         call: suspend () -> Either<StoreFailure, StoreChanges>,
     ): Either<StoreFailure, StoreChanges> =
         coroutineScope {
             val running = async { call() }
-            waiting = running
+            pendingWatch = running
             try {
                 running.await()
             } catch (interrupted: CancellationException) {
@@ -210,57 +219,68 @@
         )
     }
 
-    private fun failed(failure: StoreFailure) {
+    private fun recordFailure(failure: StoreFailure) {
         onFailure()
-        if (isProbe) sources.pathIsLost(true)
-        if (failures++ == 0) {
-            log.dependency("store lost", mapOf("kind" to kind.name, "detail" to failure.detail))
+        if (isProbe) sources.setStoreUnreachable(true)
+        if (consecutiveFailures++ == 0) {
+            log.dependency("store unavailable", mapOf("kind" to kind.name, "detail" to failure.detail))
         }
     }
 
-    private fun succeeded() {
-        if (isProbe) sources.pathIsLost(false)
-        if (failures == 0) return
-        log.dependency("store regained", mapOf("kind" to kind.name, "failures" to failures))
-        failures = 0
+    private fun recordSuccess() {
+        if (isProbe) sources.setStoreUnreachable(false)
+        if (consecutiveFailures == 0) return
+        log.dependency("store available again", mapOf("kind" to kind.name, "failures" to consecutiveFailures))
+        consecutiveFailures = 0
         outageEndedMillis = freshness.now().monotonicMillis
     }
 
     private fun isAfterOutage(): Boolean {
         val ended = outageEndedMillis ?: return false
-        return freshness.now().monotonicMillis - ended <= REGISTRATION_MILLIS
+        return freshness.now().monotonicMillis - ended <= REREGISTRATION_MILLIS
     }
 
-    /** Waits before the next call. One kind probes a lost path for all, so that a store that is down is spared. */
-    private suspend fun pause() {
-        delay(backoff.delayMillis(failures.coerceAtLeast(1), random))
-        if (!isProbe) sources.awaitPath(PROBE_LIMIT_MILLIS)
+    /**
+     * Waits before the next call. While the store is unreachable only the probe retries, so that a store that is down
+     * receives few calls.
+     */
+    private suspend fun awaitRetry() {
+        delay(backoff.delayMillis(consecutiveFailures.coerceAtLeast(1), random))
+        if (!isProbe) sources.awaitStoreRecovery(STORE_RECOVERY_TIMEOUT_MILLIS)
     }
 
     private companion object {
-        /** Replicas are emptied and added in groups, whose changes come some milliseconds apart. */
-        const val GATHER_MILLIS = 30L
+        /** Replicas are drained and added in groups, whose changes arrive a few milliseconds apart. */
+        const val CHANGE_BATCH_MILLIS = 30L
 
-        /** A single failure is a watch that the store cut, or a late response; the next call follows at once. */
-        const val FAILURES_OF_A_LOST_STORE = 2
+        /**
+         * A single failure is usually a watch that the store closed, or a late response; the next call follows at once.
+         */
+        const val STORE_LOST_FAILURES = 2
 
-        /** How often a hub proves the configuration, and is asked for it: a silent one is found soon after. */
-        const val HUB_PROOF_MILLIS = 1_000L
+        /**
+         * How often a hub confirms the configuration as current, and how often it is asked: bounds the time until a
+         * silent hub is detected.
+         */
+        const val HUB_WAIT_MILLIS = 1_000L
 
-        /** A hub that was not asked before proves its state every 2.4 s; one that is further behind lost the store. */
+        /** A hub that nobody watched yet confirms its state every 2.4 s; one that is further behind lost the store. */
         const val STALE_HUB_MILLIS = 3_000L
 
-        /** The first retry comes at once after a cut connection; later ones spare a store that is down. */
-        const val FIRST_BACKOFF_MILLIS = 60L
-        const val LAST_BACKOFF_MILLIS = 700L
+        /**
+         * The first retry follows a closed connection almost at once; later ones reduce the load on a store that is
+         * down.
+         */
+        const val INITIAL_BACKOFF_MILLIS = 60L
+        const val MAXIMUM_BACKOFF_MILLIS = 700L
 
-        /** A listing and a write take a few milliseconds; later a watch of the own is due. */
-        const val PEERS_LIMIT_MILLIS = 400L
+        /** A listing and a write take a few milliseconds; after this time the instance watches the store itself. */
+        const val PEER_DISCOVERY_TIMEOUT_MILLIS = 400L
 
-        /** The store may serve one kind and not another. */
-        const val PROBE_LIMIT_MILLIS = 2_000L
+        /** Limits the wait for the probe, since the store may serve one kind of object and not another. */
+        const val STORE_RECOVERY_TIMEOUT_MILLIS = 2_000L
 
-        /** Live replicas are back in the list about 2 s after the store's return. */
-        const val REGISTRATION_MILLIS = 2_000L
+        /** Live replicas register again within about 2 s after the store becomes available. */
+        const val REREGISTRATION_MILLIS = 2_000L
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/PeerController.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/PeerController.kt
@@ -24,9 +24,9 @@
 import java.net.InetSocketAddress
 
 /**
- * Carries out what [LoadExchange] decides: sends and receives its messages as datagrams. The addresses of the others
- * come from the platform's store, read once at the start; an instance that starts later is known by its first message.
- * Confined to the event loop.
+ * The transport of [LoadExchange]: sends and receives its messages as UDP datagrams. The addresses of the other
+ * instances are read from the platform's store once at the start; an instance that starts later becomes known by its
+ * first message. Confined to the event loop.
  */
 internal class PeerController(
     private val self: Peer,
@@ -46,7 +46,7 @@
     var bytesSent = 0L
         private set
 
-    /** Listens for reports. */
+    /** Starts to listen for reports of other instances. */
     suspend fun start(eventLoop: EventLoop) {
         val bound =
             Bootstrap()
@@ -58,28 +58,28 @@
         channel = bound.channel()
     }
 
-    /** Makes the instance known and learns of the others, until the store has done both. */
-    suspend fun introduce() {
+    /** Registers the instance in the store and reads the list of the others; retries until both succeeded. */
+    suspend fun register() {
         val backoff = Backoff()
         var failures = 0
         while (true) {
             val spec = PeerEntryCodec.encode(self)
-            val written =
+            val isRegistered =
                 store.create(StoreKind.ENTRY_INSTANCES, self.name, spec).fold({ failure ->
                     failure is StoreFailure.Conflict &&
                         store.replace(StoreKind.ENTRY_INSTANCES, self.name, spec).isRight()
                 }, { true })
-            val listing = if (written) store.list(StoreKind.ENTRY_INSTANCES).fold({ null }, { it }) else null
+            val listing = if (isRegistered) store.list(StoreKind.ENTRY_INSTANCES).fold({ null }, { it }) else null
             if (listing != null) {
                 exchange.listed(listing.objects.mapNotNull { PeerEntryCodec.decode(it) })
-                log.belief("instances listed", mapOf("count" to listing.objects.size))
+                log.stateChange("instances listed", mapOf("count" to listing.objects.size))
                 return
             }
             delay(backoff.delayMillis(++failures, random))
         }
     }
 
-    /** Sends reports until cancelled: soon after the work at a replica changed, and regularly. */
+    /** Sends load reports until cancelled: soon after the work at a replica changed, and at regular intervals. */
     suspend fun report() {
         while (true) {
             delay(TICK_MILLIS)
@@ -89,20 +89,20 @@
         }
     }
 
-    /** Tells the others that this instance is leaving, and removes its entry. */
-    suspend fun leave() {
+    /** Announces to the other instances that this one is leaving, and removes its entry from the store. */
+    suspend fun deregister() {
         send(listOf(exchange.leave()))
         store.delete(StoreKind.ENTRY_INSTANCES, self.name)
     }
 
-    private fun send(sendings: List<PeerSending>) {
+    private fun send(batches: List<PeerSending>) {
         val target = channel ?: return
-        for (sending in sendings) {
-            if (sending.destinations.isEmpty()) continue
-            val bytes = sending.message.encode().toByteArray()
-            datagramsSent += sending.destinations.size
-            bytesSent += sending.destinations.size.toLong() * bytes.size
-            for (destination in sending.destinations) {
+        for (batch in batches) {
+            if (batch.destinations.isEmpty()) continue
+            val bytes = batch.message.encode().toByteArray()
+            datagramsSent += batch.destinations.size
+            bytesSent += batch.destinations.size.toLong() * bytes.size
+            for (destination in batch.destinations) {
                 val address = InetSocketAddress(destination.host, destination.port)
                 target.write(DatagramPacket(Unpooled.wrappedBuffer(bytes), address), target.voidPromise())
             }
@@ -121,7 +121,7 @@
                 try {
                     PeerMessage.decode(String(bytes))
                 } catch (unreadable: SerializationException) {
-                    log.belief("report unreadable", mapOf("detail" to unreadable.message))
+                    log.stateChange("peer report unreadable", mapOf("detail" to unreadable.message))
                     return
                 }
             send(exchange.receive(message))
@@ -131,13 +131,14 @@
             context: ChannelHandlerContext,
             cause: Throwable,
         ) {
-            // A destination without a listener is reported on the socket; its silence says the same.
-            log.belief("datagram failed", mapOf("detail" to cause.message))
+            // The socket reports a destination without a listener; its missing reports reveal the same, so a log line
+            // is enough.
+            log.stateChange("peer datagram failed", mapOf("detail" to cause.message))
         }
     }
 
     private companion object {
-        /** A new generation is told to the others before many more arrive. */
+        /** Short enough that the other instances learn of a new generation before many more arrive. */
         const val TICK_MILLIS = 100L
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/ReplicaController.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/ReplicaController.kt
@@ -11,30 +11,30 @@
 import io.sequoiawheel.platform.UnreadableDocumentException
 import io.sequoiawheel.relay.internal.DecisionLog
 
-/** Keeps the directory of replicas in step with the platform's list. Unreadable entries name no replica to use. */
+/** Keeps the directory of replicas in sync with the platform's list. Replicas with unreadable entries are not used. */
 internal class ReplicaController(
     private val directory: ReplicaDirectory,
     private val log: DecisionLog,
 ) : KindListener {
-    override fun listed(
+    override fun onListed(
         listing: StoreListing,
         standing: ListStanding,
     ) {
         directory.replaceAll(listing.objects.mapNotNull(::decode), standing)
-        log.belief(
+        log.stateChange(
             "replicas listed",
             mapOf("entries" to listing.objects.size, "standing" to standing.name, "era" to listing.era),
         )
     }
 
-    override fun changed(
+    override fun onChanged(
         event: StoreEvent,
         afterOutage: Boolean,
     ) {
         val entry = if (event.isDeleted) null else decode(event.target)
         val id = InstanceId(event.target.name)
         if (entry == null) directory.remove(id, afterOutage && event.isDeleted) else directory.put(entry)
-        log.belief(
+        log.stateChange(
             if (entry == null) "replica removed" else "replica changed",
             mapOf(
                 "replica" to id.value,
@@ -48,44 +48,47 @@
 
     private fun decode(target: StoreObject): ReplicaEntry? =
         try {
-            ReplicaEntryCodec.decode(target.name, target.spec ?: throw UnreadableDocumentException("spec is no object"))
+            ReplicaEntryCodec.decode(
+                target.name,
+                target.spec ?: throw UnreadableDocumentException("spec is not an object"),
+            )
         } catch (unreadable: UnreadableDocumentException) {
-            log.belief(
-                "replica entry unreadable, not used",
+            log.stateChange(
+                "replica entry unreadable, replica not used",
                 mapOf("replica" to target.name, "detail" to unreadable.message),
             )
             null
         }
 }
 
-/** Keeps the availability zones that operators took out. */
+/** Tracks the availability zones that operators evacuated. */
 internal class EvacuationController(
     private val directory: ReplicaDirectory,
     private val log: DecisionLog,
 ) : KindListener {
-    override fun listed(
+    override fun onListed(
         listing: StoreListing,
         standing: ListStanding,
-    ) = noting {
+    ) = loggingZoneChanges {
         val zones = listing.objects.filter { !it.isBeingDeleted }.mapTo(HashSet()) { ZoneName(it.name) }
         directory.evacuations.replaceAll(zones, standing)
     }
 
-    override fun changed(
+    override fun onChanged(
         event: StoreEvent,
         afterOutage: Boolean,
-    ) = noting {
+    ) = loggingZoneChanges {
         directory.evacuations.set(
             ZoneName(event.target.name),
             isOut = !event.isDeleted && !event.target.isBeingDeleted,
         )
     }
 
-    private fun noting(change: () -> Unit) {
-        val before = directory.evacuations.zones
+    private fun loggingZoneChanges(change: () -> Unit) {
+        val previous = directory.evacuations.zones
         change()
         val zones = directory.evacuations.zones
-        if (zones == before) return
-        log.belief("evacuated zones changed", mapOf("zones" to zones.joinToString(",") { it.value }))
+        if (zones == previous) return
+        log.stateChange("evacuated zones changed", mapOf("zones" to zones.joinToString(",") { it.value }))
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/StoreClient.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/StoreClient.kt
@@ -31,25 +31,27 @@
 internal sealed interface StoreFailure {
     val detail: String
 
-    /** The store did not answer, or answered that it did nothing. A write without an answer may have taken effect. */
+    /**
+     * The store did not respond, or responded that it did nothing. A write without a response may have taken effect.
+     */
     data class Unavailable(
         override val detail: String,
     ) : StoreFailure
 
-    /** The watch starts before the store's history. */
+    /** The watch starts at a revision older than the history that the store keeps. */
     data class HistoryGone(
         override val detail: String,
     ) : StoreFailure
 
-    /** The object exists already or has another revision. */
+    /** The object already exists or has another revision. */
     data class Conflict(
         override val detail: String,
     ) : StoreFailure
 }
 
 /**
- * A whole listing of one kind. A watch from [revision] brings every change that the listing may lack; changes made
- * between two pages may come a second time.
+ * A complete listing of one kind. A watch from [revision] returns every change that the listing may lack; changes made
+ * between two pages may be returned a second time.
  */
 internal data class StoreListing(
     val objects: List<StoreObject>,
@@ -58,11 +60,11 @@
 )
 
 /**
- * The client of the platform's store, and of instances that answer watches in its place. A connection on which a call
- * failed is closed, since its response may be lost. An answer of an older era than the newest one counts as none.
- * Confined to the event loop.
+ * Client of the platform's store, and of instances that serve watches in its place. A connection on which a call failed
+ * is closed, since its response may be lost or still in flight. A response from an older era than the newest known one
+ * is treated as a failed call. Confined to the event loop.
  *
- * @param eras orders the store's eras; null for instances, which name the era in the body of their answers
+ * @param eras orders the store's eras; null for other instances, which state the era in the body of their responses
  */
 internal class StoreClient(
     private val connector: Connector,
@@ -70,23 +72,23 @@
     private val onNewEra: () -> Unit = {},
     private val endpoint: () -> Endpoint,
 ) {
-    private class Idle(
+    private class IdleConnection(
         val endpoint: Endpoint,
         val connection: BackendConnection,
     )
 
-    private class Answer(
+    private class Response(
         val status: Int,
         val text: String,
         val era: Long?,
     )
 
-    private val idle = ArrayDeque<Idle>()
+    private val idle = ArrayDeque<IdleConnection>()
 
-    private val callsByCause = TreeMap<String, Long>()
+    private val callsByOperation = TreeMap<String, Long>()
 
-    /** Calls made so far, by the verb and the kind of object. */
-    val calls: Map<String, Long> get() = callsByCause
+    /** Number of calls made so far, by verb and kind of object. */
+    val calls: Map<String, Long> get() = callsByOperation
 
     /** Returns all objects of [kind]. */
     suspend fun list(kind: StoreKind): Either<StoreFailure, StoreListing> {
@@ -96,11 +98,12 @@
         var era: Long? = null
         while (true) {
             val path = StoreProtocol.listPath(kind, afterName)
-            val answer = call("list $kind", HttpMethod.GET, path).fold({ return it.left() }, { it })
-            val result = decode(answer.text, StoreProtocol::decodePage).fold({ return it.left() }, { it })
-            if (first != null && answer.era != era) return StoreFailure.Unavailable("the era changed").left()
-            era = answer.era
-            // Names on the first page may change while later pages are read.
+            val response = call("list $kind", HttpMethod.GET, path).fold({ return it.left() }, { it })
+            val result = decode(response.text, StoreProtocol::decodePage).fold({ return it.left() }, { it })
+            if (first != null && response.era != era) return StoreFailure.Unavailable("the store era changed").left()
+            era = response.era
+            // Objects on the first page may change while later pages are read, so the watch starts at the first
+            // revision.
             val revision = (first ?: result.also { first = it }).revision
             objects += result.objects
             if (!result.hasMore || result.objects.isEmpty()) return StoreListing(objects, revision, era).right()
@@ -108,16 +111,16 @@
         }
     }
 
-    /** Returns what changed after [revision], waiting up to [waitMillis] for the first change. */
+    /** Returns the changes after [revision], waiting up to [waitMillis] for the first one. */
     suspend fun watch(
         kind: StoreKind,
         revision: Long,
         waitMillis: Long,
     ): Either<StoreFailure, StoreChanges> =
         watchAt(StoreProtocol.watchPath(kind, revision, waitMillis), kind, waitMillis)
-            .map { (answer, changes) -> changes.copy(era = answer.era) }
+            .map { (response, changes) -> changes.copy(era = response.era) }
 
-    /** Returns what another instance knows after [revision], if it knows the same [era] of the store. */
+    /** Returns the changes after [revision] from another instance, provided that it has the same [era] of the store. */
     suspend fun watchPeer(
         kind: StoreKind,
         revision: Long,
@@ -130,9 +133,9 @@
         path: String,
         kind: StoreKind,
         waitMillis: Long,
-    ): Either<StoreFailure, Pair<Answer, StoreChanges>> =
-        call("watch $kind", HttpMethod.GET, path, timeoutMillis = waitMillis + WATCH_SLACK_MILLIS)
-            .flatMap { answer -> decode(answer.text, StoreProtocol::decodeChanges).map { answer to it } }
+    ): Either<StoreFailure, Pair<Response, StoreChanges>> =
+        call("watch $kind", HttpMethod.GET, path, timeoutMillis = waitMillis + WATCH_GRACE_MILLIS)
+            .flatMap { response -> decode(response.text, StoreProtocol::decodeChanges).map { response to it } }
 
     /** Creates an object, or fails with [StoreFailure.Conflict] if it exists. */
     suspend fun create(
@@ -147,7 +150,7 @@
             StoreProtocol.objectBody(name, spec),
         ).map { }
 
-    /** Replaces an object whatever its revision. */
+    /** Replaces an object, whatever its current revision. */
     suspend fun replace(
         kind: StoreKind,
         name: String,
@@ -179,45 +182,45 @@
         }
 
     private suspend fun call(
-        cause: String,
+        operation: String,
         method: HttpMethod,
         path: String,
         body: String? = null,
         timeoutMillis: Long = CALL_TIMEOUT_MILLIS,
-    ): Either<StoreFailure, Answer> {
-        callsByCause.merge(cause, 1L, Long::plus)
+    ): Either<StoreFailure, Response> {
+        callsByOperation.merge(operation, 1L, Long::plus)
         val target = endpoint()
         var connection: BackendConnection? = null
-        var isComplete = false
+        var isResponseComplete = false
         try {
-            val answer =
+            val response =
                 withTimeoutOrNull(timeoutMillis) {
-                    val opened = connect(target).also { connection = it }
-                    opened.send(request(target, method, path, body))
-                    val head = opened.receiveHead(requestId = null)
+                    val openConnection = connect(target).also { connection = it }
+                    openConnection.send(request(target, method, path, body))
+                    val head = openConnection.receiveHead(requestId = null)
                     val era = StoreProtocol.decodeEra(head.headers().get(Headers.STORE_ERA))
-                    Answer(head.status().code(), String(opened.receiveBody()), era)
+                    Response(head.status().code(), String(openConnection.receiveBody()), era)
                 } ?: return StoreFailure.Unavailable("no response within $timeoutMillis ms").left()
-            isComplete = true
-            return interpret(answer)
+            isResponseComplete = true
+            return interpret(response)
         } catch (failure: IOException) {
             return StoreFailure.Unavailable(failure.message ?: failure.javaClass.simpleName).left()
         } finally {
-            connection?.let { if (isComplete) keep(target, it) else it.abort() }
+            connection?.let { if (isResponseComplete) recycle(target, it) else it.abort() }
         }
     }
 
-    private fun interpret(answer: Answer): Either<StoreFailure, Answer> {
-        when (eras?.observe(answer.era)) {
-            EraOrder.OLDER -> return StoreFailure.Unavailable("an answer of the older era ${answer.era}").left()
+    private fun interpret(response: Response): Either<StoreFailure, Response> {
+        when (eras?.observe(response.era)) {
+            EraOrder.OLDER -> return StoreFailure.Unavailable("response from the older era ${response.era}").left()
             EraOrder.NEW -> onNewEra()
             EraOrder.CURRENT, null -> Unit
         }
-        return when (answer.status) {
-            in SUCCESS -> Answer(answer.status, answer.text, eras?.current).right()
-            StoreProtocol.HISTORY_GONE -> StoreFailure.HistoryGone("history is gone").left()
-            CONFLICT -> StoreFailure.Conflict(answer.text.take(DETAIL_CHARACTERS)).left()
-            else -> StoreFailure.Unavailable("status ${answer.status}").left()
+        return when (response.status) {
+            in SUCCESS -> Response(response.status, response.text, eras?.current).right()
+            StoreProtocol.HISTORY_GONE -> StoreFailure.HistoryGone("history truncated").left()
+            CONFLICT -> StoreFailure.Conflict(response.text.take(MAXIMUM_DETAIL_CHARACTERS)).left()
+            else -> StoreFailure.Unavailable("status ${response.status}").left()
         }
     }
 
@@ -225,17 +228,22 @@
         while (idle.isNotEmpty()) {
             val kept = idle.removeLast()
             val connection = kept.connection
-            if (kept.endpoint == target && connection.isOpen && connection.idleMillis < KEEP_MILLIS) return connection
+            if (kept.endpoint == target &&
+                connection.isOpen &&
+                connection.idleMillis < KEEP_MILLIS
+            ) {
+                return connection
+            }
             connection.close()
         }
         return connector.connect(target)
     }
 
-    private fun keep(
+    private fun recycle(
         target: Endpoint,
         connection: BackendConnection,
     ) {
-        if (connection.complete()) idle.addLast(Idle(target, connection))
+        if (connection.complete()) idle.addLast(IdleConnection(target, connection))
     }
 
     private fun request(
@@ -257,15 +265,17 @@
     private companion object {
         val SUCCESS = 200..299
         const val CONFLICT = 409
-        const val DETAIL_CHARACTERS = 200
+        const val MAXIMUM_DETAIL_CHARACTERS = 200
 
-        /** The store answers in 4 ms and, when slow, in a fraction of a second. */
+        /** The store responds within 4 ms and, when slow, within a fraction of a second. */
         const val CALL_TIMEOUT_MILLIS = 1_500L
 
-        /** What a watch may take beyond its wait before its connection counts as silent. */
-        const val WATCH_SLACK_MILLIS = 800L
+        /** Time that a watch may take beyond its wait before the call is given up as unanswered. */
+        const val WATCH_GRACE_MILLIS = 800L
 
-        /** Calls follow one another closely, so an older connection belongs to a loop that has ended. */
+        /**
+         * Calls follow one another closely, so a connection that was idle for longer belongs to a loop that has ended.
+         */
         const val KEEP_MILLIS = 3_000L
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/filter/ConfigurationFilters.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/filter/ConfigurationFilters.kt
@@ -138,7 +138,7 @@
     ) {
         val remaining = remainingMillis()
         if (remaining != null && !mayEnd(exchange, remaining)) {
-            exchange.response.closeAfter()
+            exchange.response.closeWhenComplete()
             exchange.refuse(
                 NotRunProof.NOTHING_SENT,
                 ResultCode.LEAVING,
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/filter/Exchange.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/filter/Exchange.kt
@@ -50,7 +50,7 @@
         result = code
         notes["proof"] = proof.name
         notes["detail"] = detail
-        response.refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, code, detail, retryAfterMillis)
+        response.sendError(HttpResponseStatus.SERVICE_UNAVAILABLE, code, detail, retryAfterMillis)
     }
 
     /** Rejects a request that the configuration does not allow. */
@@ -60,7 +60,7 @@
     ) {
         result = code
         notes["detail"] = detail
-        response.refuse(HttpResponseStatus.valueOf(code.httpStatus), code, detail)
+        response.sendError(HttpResponseStatus.valueOf(code.httpStatus), code, detail)
     }
 
     /** Fails a request that may have run. Cuts the response if it has begun. */
@@ -73,7 +73,7 @@
         if (response.isStarted) {
             response.abort()
         } else {
-            response.refuse(HttpResponseStatus.valueOf(code.httpStatus), code, detail)
+            response.sendError(HttpResponseStatus.valueOf(code.httpStatus), code, detail)
         }
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/filter/OutcomeFilter.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/filter/OutcomeFilter.kt
@@ -32,7 +32,7 @@
     private fun record(exchange: Exchange) {
         val millis = clock.nowMillis() - exchange.request.receivedAtMillis
         val result = exchange.result ?: ResultCode.OK
-        metrics.finished(exchange.route?.kind?.name ?: "NONE", result.name, millis)
+        metrics.recordRequest(exchange.route?.kind?.name ?: "NONE", result.name, millis)
         val fields =
             mapOf(
                 "request" to exchange.requestId,
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/http/CallerConnection.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/http/CallerConnection.kt
@@ -1,6 +1,6 @@
 /*
- * One caller's connection. Its requests are read and answered one after the other by one coroutine, which is cancelled
- * when the caller closes the connection, so that the work at the replica ends with it.
+ * A caller's connection. One coroutine reads and serves its requests one after the other. It is cancelled when the
+ * caller closes the connection, which also cancels the work at the replica.
  */
 package io.sequoiawheel.relay.http
 
@@ -34,37 +34,37 @@
 import java.io.ByteArrayOutputStream
 import java.io.IOException
 
-/** What the connection needs of the daemon. */
+/** Serves the requests of caller connections. */
 internal interface CallerService {
     val clock: Clock
 
-    /** Limits on what callers send. */
+    /** Limits on the requests of callers. */
     val limits: ConnectionLimits
 
-    /** Whether the instance is leaving, so that connections end with their current request. */
+    /** Whether the instance is shutting down, so that connections are closed after their current request. */
     val isLeaving: Boolean
 
-    /** Answers one request through [response]. */
+    /** Serves one request and writes the result to [response]. */
     suspend fun serve(
         request: CallerRequest,
         response: CallerResponse,
     )
 
-    /** Records a request that could not be read. */
-    fun rejected(
+    /** Called for a request that is rejected because it could not be read. */
+    fun onRejected(
         code: ResultCode,
         detail: String,
     )
 }
 
-/** Limits on what a caller may send, and how long it may take or stay idle, in milliseconds. */
+/** Limits on the body size, and on the time in milliseconds that a caller may take for a head or stay idle. */
 internal data class ConnectionLimits(
     val bodyBytes: Int,
     val headerTimeoutMillis: Long,
     val idleTimeoutMillis: Long,
 )
 
-/** A request that is refused before it is complete. */
+/** Thrown for a request that is rejected while it is being read. */
 private class UnreadableRequestException(
     val code: ResultCode,
     val status: HttpResponseStatus,
@@ -94,8 +94,8 @@
     ) = inbound.offer(message as HttpObject)
 
     override fun channelInactive(context: ChannelHandlerContext) {
-        inbound.end()
-        job?.cancel(CancellationException("caller left"))
+        inbound.close()
+        job?.cancel(CancellationException("caller closed the connection"))
         writable.complete(Unit)
     }
 
@@ -107,11 +107,11 @@
         context: ChannelHandlerContext,
         cause: Throwable,
     ) {
-        inbound.end(cause)
+        inbound.close(cause)
         context.close()
     }
 
-    /** Waits while the caller reads more slowly than it is written to. */
+    /** Waits until the write buffer of a slow caller has room again. */
     suspend fun awaitWritable() {
         while (!channel.isWritable && channel.isActive) {
             if (writable.isCompleted) writable = CompletableDeferred()
@@ -125,10 +125,10 @@
 
     private suspend fun serveAll() {
         try {
-            var keeps = true
-            while (keeps) keeps = serveNext()
+            var isKeptOpen = true
+            while (isKeptOpen) isKeptOpen = serveNext()
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).awaitDone()
-            closeGently()
+            closeGracefully()
         } catch (failure: IOException) {
             channel.close()
         } finally {
@@ -146,9 +146,9 @@
             try {
                 readRequest(head)
             } catch (unreadable: UnreadableRequestException) {
-                service.rejected(unreadable.code, unreadable.message.orEmpty())
-                response.closeAfter()
-                response.refuse(unreadable.status, unreadable.code, unreadable.message.orEmpty())
+                service.onRejected(unreadable.code, unreadable.message.orEmpty())
+                response.closeWhenComplete()
+                response.sendError(unreadable.status, unreadable.code, unreadable.message.orEmpty())
                 return false
             }
         service.serve(request, response)
@@ -169,14 +169,14 @@
 
     private suspend fun readRequest(head: HttpRequest): CallerRequest {
         val receivedAtMillis = service.clock.nowMillis()
-        refuseMalformed(head)
+        rejectMalformed(head)
         val limits = service.limits
         if (HttpUtil.getContentLength(head, 0L) > limits.bodyBytes) throw bodyTooLarge(limits)
         if (HttpUtil.is100ContinueExpected(head)) write(CallerResponse.continueResponse())
         val body = ByteArrayOutputStream()
         while (true) {
             val message = inbound.receive()
-            val content = message as? HttpContent ?: throw malformed("a request began inside another")
+            val content = message as? HttpContent ?: throw malformed("a request started within the body of another")
             if (content.decoderResult().isFailure) {
                 content.release()
                 throw malformed("malformed body")
@@ -197,18 +197,18 @@
         )
     }
 
-    private fun refuseMalformed(head: HttpRequest) {
+    private fun rejectMalformed(head: HttpRequest) {
         if (head.decoderResult().isFailure) throw undecodable(head.decoderResult().cause())
         val encodings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING)
         val isEncodingKnown = encodings.all { it.trim().equals("chunked", ignoreCase = true) } && encodings.size <= 1
-        val fault =
+        val detail =
             when {
                 !isEncodingKnown -> "unsupported transfer encoding"
-                head.headers().getAll(HttpHeaderNames.HOST).size != 1 -> "exactly one Host is needed"
-                !head.uri().startsWith("/") -> "the target is no path"
+                head.headers().getAll(HttpHeaderNames.HOST).size != 1 -> "exactly one Host header is required"
+                !head.uri().startsWith("/") -> "the request target is not a path"
                 else -> return
             }
-        throw malformed(fault)
+        throw malformed(detail)
     }
 
     private fun undecodable(cause: Throwable?): UnreadableRequestException {
@@ -230,10 +230,10 @@
             "the body exceeds ${limits.bodyBytes} bytes",
         )
 
-    /** Lets the caller read the last response: closing with unread bytes would reset the connection. */
-    private suspend fun closeGently() {
+    /** Closes after the caller read the last response: closing with unread input would reset the connection. */
+    private suspend fun closeGracefully() {
         (channel as? SocketChannel)?.shutdownOutput()
-        withTimeoutOrNull(CLOSE_WAIT_MILLIS) {
+        withTimeoutOrNull(CLOSE_TIMEOUT_MILLIS) {
             try {
                 while (true) ReferenceCountUtil.release(inbound.receive())
             } catch (ended: ConnectionEndedException) {
@@ -247,7 +247,7 @@
     internal fun abort() = channel.reset()
 
     private companion object {
-        /** Time for the caller to close its side after the last response. */
-        const val CLOSE_WAIT_MILLIS = 500L
+        /** Time that the caller has to close its side after the last response. */
+        const val CLOSE_TIMEOUT_MILLIS = 500L
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/http/CallerRequest.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/http/CallerRequest.kt
@@ -4,10 +4,10 @@
 import io.netty.handler.codec.http.HttpMethod
 
 /**
- * One whole request as the caller sent it.
+ * A complete request as the caller sent it.
  *
- * @property target path and query, unchanged
- * @property receivedAtMillis monotonic time at which its first byte was read
+ * @property target the unmodified request target: path and query
+ * @property receivedAtMillis monotonic time at which the head was read
  */
 internal class CallerRequest(
     val method: HttpMethod,
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/http/CallerRequestDecoder.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/http/CallerRequestDecoder.kt
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpRequestDecoder
 
 /**
- * Decodes requests strictly. A request with both a length and a transfer encoding is refused, since two readers could
- * disagree on where it ends.
+ * Decodes requests strictly. A request with both a Content-Length and a Transfer-Encoding is rejected, since two
+ * parsers could disagree on where it ends (request smuggling).
  */
 internal class CallerRequestDecoder(
     maximumHeaderBytes: Int,
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/http/CallerServer.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/http/CallerServer.kt
@@ -14,7 +14,7 @@
 import jdk.net.ExtendedSocketOptions
 import kotlinx.coroutines.CoroutineScope
 
-/** Accepts callers' connections on one event loop. */
+/** Accepts connections of callers on one event loop. */
 internal class CallerServer(
     private val eventLoop: EventLoop,
     private val scope: CoroutineScope,
@@ -22,7 +22,7 @@
 ) {
     private var listener: Channel? = null
 
-    /** Starts to listen on [endpoint] and returns the port. */
+    /** Starts to listen on [endpoint] and returns the bound port. */
     suspend fun start(
         endpoint: Endpoint,
         maximumHeaderBytes: Int,
@@ -38,8 +38,10 @@
                 .childOption(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEP_ALIVE_IDLE_SECONDS)
                 .childOption(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), KEEP_ALIVE_IDLE_SECONDS)
                 .childOption(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), KEEP_ALIVE_PROBES)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WriteBufferWaterMark(LOW_MARK, HIGH_MARK))
-                .childHandler(
+                .childOption(
+                    ChannelOption.WRITE_BUFFER_WATER_MARK,
+                    WriteBufferWaterMark(LOW_WATER_MARK, HIGH_WATER_MARK),
+                ).childHandler(
                     object : ChannelInitializer<Channel>() {
                         override fun initChannel(channel: Channel) {
                             channel.pipeline().addLast(CallerRequestDecoder(maximumHeaderBytes))
@@ -60,15 +62,15 @@
     }
 
     private companion object {
-        /** Connections that may wait to be accepted while the processor is busy. */
+        /** Connections that may be pending while the processor is busy. */
         const val BACKLOG = 512
 
-        /** Callers that vanish without a word are found within about ten seconds. */
+        /** Callers that disappear without closing their connection are detected within about ten seconds. */
         const val KEEP_ALIVE_IDLE_SECONDS = 3
         const val KEEP_ALIVE_PROBES = 2
 
-        /** Bytes that may wait for a slow caller before the replica's stream is paused, and before it goes on. */
-        const val HIGH_MARK = 65_536
-        const val LOW_MARK = 16_384
+        /** Bytes buffered for a slow caller at which the replica's stream pauses, and at which it resumes. */
+        const val HIGH_WATER_MARK = 65_536
+        const val LOW_WATER_MARK = 16_384
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/http/StatusServer.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/http/StatusServer.kt
@@ -24,17 +24,20 @@
 import kotlinx.coroutines.Job
 import kotlinx.coroutines.launch
 
-/** The response to one question about the instance: a status and a text. */
-internal class StatusAnswer(
+/** The response to a status request. */
+internal class StatusResponse(
     val status: HttpResponseStatus,
     val text: String = "",
 )
 
-/** Answers questions about the instance on addresses of their own; [answer] maps a request target to a response. */
+/**
+ * Serves requests of the platform and of other instances on ports separate from those of the callers: readiness,
+ * metrics and watches. [handler] maps a request target to a response.
+ */
 internal class StatusServer(
     private val eventLoop: EventLoop,
     private val scope: CoroutineScope,
-    private val answer: suspend (String) -> StatusAnswer,
+    private val handler: suspend (String) -> StatusResponse,
 ) {
     /** Starts to listen on [endpoint]. */
     suspend fun start(endpoint: Endpoint) {
@@ -47,27 +50,27 @@
                     override fun initChannel(channel: Channel) {
                         channel.pipeline().addLast(HttpServerCodec())
                         channel.pipeline().addLast(HttpObjectAggregator(MAXIMUM_REQUEST_BYTES))
-                        channel.pipeline().addLast(Responder())
+                        channel.pipeline().addLast(RequestHandler())
                     }
                 },
             ).bind(endpoint.host, endpoint.port)
             .awaitDone()
     }
 
-    private inner class Responder : SimpleChannelInboundHandler<FullHttpRequest>() {
-        private var last: Job? = null
+    private inner class RequestHandler : SimpleChannelInboundHandler<FullHttpRequest>() {
+        private var lastJob: Job? = null
 
         override fun channelRead0(
             context: ChannelHandlerContext,
             request: FullHttpRequest,
         ) {
             val target = request.uri()
-            val isKeptAlive = HttpUtil.isKeepAlive(request)
-            val previous = last
-            last =
+            val isKeepAlive = HttpUtil.isKeepAlive(request)
+            val previous = lastJob
+            lastJob =
                 scope.launch {
                     previous?.join()
-                    respond(context, answer(target), isKeptAlive)
+                    respond(context, handler(target), isKeepAlive)
                 }
         }
 
@@ -75,30 +78,30 @@
             context: ChannelHandlerContext,
             cause: Throwable,
         ) {
-            // The asker reset its connection, or sent what is no request; it asks again on another one.
+            // The client reset its connection or sent a malformed request; it can retry on another connection.
             context.close()
         }
 
         override fun channelInactive(context: ChannelHandlerContext) {
-            last?.cancel()
+            lastJob?.cancel()
             context.fireChannelInactive()
         }
 
         private fun respond(
             context: ChannelHandlerContext,
-            result: StatusAnswer,
-            isKeptAlive: Boolean,
+            result: StatusResponse,
+            isKeepAlive: Boolean,
         ) {
             val body = Unpooled.wrappedBuffer(result.text.toByteArray())
             val response = DefaultFullHttpResponse(HttpVersion.HTTP_1_1, result.status, body)
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes())
             val sent = context.writeAndFlush(response)
-            if (!isKeptAlive) sent.addListener(ChannelFutureListener.CLOSE)
+            if (!isKeepAlive) sent.addListener(ChannelFutureListener.CLOSE)
         }
     }
 
     private companion object {
-        /** Questions carry no body to speak of. */
+        /** Status requests have no body, or a very small one. */
         const val MAXIMUM_REQUEST_BYTES = 4_096
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/internal/DecisionLog.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/internal/DecisionLog.kt
@@ -1,6 +1,6 @@
 /*
- * Structured log lines: one for each decision that touches a request or changes what the process believes. Their volume
- * is bounded a second; what was left out is counted in a line of its own.
+ * Structured log lines: one for each decision that affects a request or changes the state of the process. The number of
+ * lines a second is limited; omitted lines are counted and reported in a line of their own.
  */
 package io.sequoiawheel.relay.internal
 
@@ -17,25 +17,25 @@
     private var written = 0
     private var omitted = 0L
 
-    /** A decision on one request. */
+    /** Logs a decision on one request. */
     fun request(
         decision: String,
         fields: Map<String, Any?>,
     ) = write(Level.INFO, decision, fields + ("event" to "request"))
 
-    /** A change of what the process believes. */
-    fun belief(
+    /** Logs a change in the state that the process knows of, such as its configuration or the list of replicas. */
+    fun stateChange(
         change: String,
         fields: Map<String, Any?>,
     ) = write(Level.INFO, change, fields + ("event" to "belief"))
 
-    /** A dependency lost or regained. */
+    /** Logs that a dependency became unavailable or available again. */
     fun dependency(
         change: String,
         fields: Map<String, Any?>,
     ) = write(Level.WARN, change, fields + ("event" to "dependency"))
 
-    /** Start, stop and reload; never left out. */
+    /** Logs a start, stop or reload. These lines are never omitted. */
     fun lifecycle(
         change: String,
         fields: Map<String, Any?>,
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/internal/LogConfiguration.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/internal/LogConfiguration.kt
@@ -12,53 +12,53 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Sets up JSON lines on standard output. They are written by a thread of their own; when its queue is full, lines are
- * dropped, so that a slow reader of the output never holds up a request. Logback finds this class in every program that
- * has it on its path; it acts only where [isWanted].
+ * Configures logging as JSON lines on standard output. A separate thread writes them; when its queue is full, lines are
+ * dropped, so that a slow reader of the output never blocks a request. Logback loads this class in every program that
+ * has it on its class path; it takes effect only if [isEnabled] is set.
  */
 class LogConfiguration :
     ContextAwareBase(),
     Configurator {
     override fun configure(context: LoggerContext): Configurator.ExecutionStatus {
-        if (!isWanted) return Configurator.ExecutionStatus.INVOKE_NEXT_IF_ANY
+        if (!isEnabled) return Configurator.ExecutionStatus.INVOKE_NEXT_IF_ANY
         val encoder = LogstashEncoder()
         encoder.context = context
-        encoder.fieldNames.version = IGNORED
-        encoder.fieldNames.levelValue = IGNORED
-        encoder.fieldNames.logger = IGNORED
-        encoder.fieldNames.thread = IGNORED
+        encoder.fieldNames.version = IGNORED_FIELD
+        encoder.fieldNames.levelValue = IGNORED_FIELD
+        encoder.fieldNames.logger = IGNORED_FIELD
+        encoder.fieldNames.thread = IGNORED_FIELD
         encoder.start()
         val console = ConsoleAppender<ILoggingEvent>()
         console.context = context
         console.encoder = encoder
         console.start()
-        val queue = AsyncAppender()
-        queue.context = context
-        queue.queueSize = QUEUED_LINES
-        queue.discardingThreshold = 0
-        queue.isNeverBlock = true
-        queue.addAppender(console)
-        queue.start()
+        val asyncAppender = AsyncAppender()
+        asyncAppender.context = context
+        asyncAppender.queueSize = QUEUE_CAPACITY
+        asyncAppender.discardingThreshold = 0
+        asyncAppender.isNeverBlock = true
+        asyncAppender.addAppender(console)
+        asyncAppender.start()
         val root = context.getLogger(Logger.ROOT_LOGGER_NAME)
         root.level = Level.INFO
-        root.addAppender(queue)
+        root.addAppender(asyncAppender)
         context.getLogger("io.netty").level = Level.WARN
         return Configurator.ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY
     }
 
     companion object {
-        /** Whether this process logs as an entry instance; set before the first logger is used. */
+        /** Whether this process logs as an entry instance. Must be set before the first logger is used. */
         @Volatile
-        var isWanted = false
+        var isEnabled = false
 
-        /** Writes the lines that wait, for a second at most; to be called before the process ends. */
+        /** Writes the queued lines, for one second at most. Must be called before the process exits. */
         fun flush() {
             (LoggerFactory.getILoggerFactory() as? LoggerContext)?.stop()
         }
 
-        private const val IGNORED = "[ignore]"
+        private const val IGNORED_FIELD = "[ignore]"
 
-        /** Lines that may wait for a slow reader: several seconds of the largest volume. */
-        private const val QUEUED_LINES = 512
+        /** Capacity of the queue in lines: several seconds at the largest volume. */
+        private const val QUEUE_CAPACITY = 512
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/internal/RelayMetrics.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/internal/RelayMetrics.kt
@@ -6,13 +6,16 @@
 import java.time.Duration
 import java.util.concurrent.TimeUnit
 
-/** Counters and latency histograms of the relay. Labels take few values: kinds of request, outcomes and reasons. */
+/**
+ * Counters and latency histograms of the relay. Labels have few distinct values: kinds of request, outcomes and
+ * reasons.
+ */
 internal class RelayMetrics {
     private val registry by lazy { PrometheusMeterRegistry(PrometheusConfig.DEFAULT) }
     private val timers = HashMap<Pair<String, String>, Timer>()
 
-    /** Records one finished request. */
-    fun finished(
+    /** Records the latency of a finished request. */
+    fun recordRequest(
         kind: String,
         outcome: String,
         millis: Long,
@@ -24,20 +27,20 @@
                     .tag("kind", kind)
                     .tag("outcome", outcome)
                     .publishPercentileHistogram(false)
-                    .serviceLevelObjectives(*BUCKETS)
+                    .serviceLevelObjectives(*LATENCY_BUCKETS)
                     .register(registry)
             }
         timer.record(millis, TimeUnit.MILLISECONDS)
     }
 
-    /** Counts one event of [name]. */
+    /** Adds [amount] to the counter [name]. */
     fun count(
         name: String,
         reason: String,
         amount: Double = 1.0,
     ) = registry.counter("sequoiawheel.$name", "reason", reason).increment(amount)
 
-    /** Publishes a value that is read when the metrics are. */
+    /** Registers a gauge whose [value] is read whenever the metrics are scraped. */
     fun gauge(
         name: String,
         value: () -> Number,
@@ -45,11 +48,11 @@
         registry.gauge("sequoiawheel.$name", this) { value().toDouble() }
     }
 
-    /** Returns all metrics as text. */
-    fun text(): String = registry.scrape()
+    /** Returns all metrics in the Prometheus text format. */
+    fun scrape(): String = registry.scrape()
 
     private companion object {
-        val BUCKETS =
+        val LATENCY_BUCKETS =
             longArrayOf(20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 40_000)
                 .map { Duration.ofMillis(it) }
                 .toTypedArray()
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/CallRelay.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/CallRelay.kt
@@ -169,7 +169,7 @@
             exchange.result = ResultCode.OK
             exchange.notes["replica"] = tried.last().toString()
             exchange.notes["attempts"] = tried.size
-            exchange.response.whole(answer.head.status(), requests.callerHeaders(answer.head), answer.body)
+            exchange.response.sendComplete(answer.head.status(), requests.callerHeaders(answer.head), answer.body)
         }
 
         private fun describe(attempt: CallAttempt) =
@@ -247,7 +247,7 @@
         ): CallAttempt {
             if (head.isMisdirected) replica.leave(LeaveReason.REPLACED)
             if (runs == 0) exchange.mayHaveRun = false
-            val unreadable = lease.connection.skipFailureBody()
+            val unreadable = lease.connection.skipErrorBody()
             if (unreadable == null) lease.complete() else exchange.notes["refusalBody"] = unreadable
             return CallAttempt.NotRun(
                 NotRunProof.REFUSED_BY_REPLICA,
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationAttempt.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationAttempt.kt
@@ -195,7 +195,7 @@
         val status = head.status().code()
         if (head.isNotRun) {
             if (head.isMisdirected) replica.leave(LeaveReason.REPLACED)
-            val unreadable = opened.skipFailureBody()
+            val unreadable = opened.skipErrorBody()
             if (unreadable == null) isComplete = true else exchange.notes["refusalBody"] = unreadable
             signals.trySend(
                 GenerationSignal.NotRun(this, NotRunProof.REFUSED_BY_REPLICA, "$replica refused with status $status"),
@@ -203,7 +203,7 @@
             return
         }
         if (status !in SUCCESS) {
-            val body = opened.receiveFailureBody()
+            val body = opened.receiveErrorBody()
             isComplete = true
             signals.trySend(GenerationSignal.Failed(this, head, body))
             return
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationRun.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationRun.kt
@@ -201,7 +201,7 @@
         }
         isOver = true
         exchange.result = ResultCode.BACKEND_ERROR
-        exchange.response.whole(signal.head.status(), requests.callerHeaders(signal.head), signal.body)
+        exchange.response.sendComplete(signal.head.status(), requests.callerHeaders(signal.head), signal.body)
     }
 
     private suspend fun notRun(signal: GenerationSignal.NotRun) {
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
@@ -25,7 +25,7 @@
         notice.coldForMillis?.let(replica::coldFor)
         if (notice.isLeaving) leave(replica, head)
         notice.unreadable?.let { value ->
-            log.belief("wait of a replica unreadable", mapOf("replica" to replica.toString(), "value" to value))
+            log.stateChange("wait of a replica unreadable", mapOf("replica" to replica.toString(), "value" to value))
         }
         notice.quietMillis?.let { quietFor(replica, head, it) }
     }
@@ -37,7 +37,7 @@
         if (replica.isLeaving) return
         replica.leave(LeaveReason.ANNOUNCED)
         metrics.count("replica.notices", "leaving")
-        log.belief(
+        log.stateChange(
             "replica announced its leaving",
             mapOf(
                 "replica" to replica.toString(),
@@ -55,7 +55,7 @@
     ) {
         if (millis > replica.quietMillis) {
             metrics.count("replica.notices", "quiet")
-            log.belief(
+            log.stateChange(
                 "replica asked for quiet",
                 mapOf(
                     "replica" to replica.toString(),
--- a/relay/src/test/kotlin/io/sequoiawheel/relay/ClassArchiveTest.kt
+++ b/relay/src/test/kotlin/io/sequoiawheel/relay/ClassArchiveTest.kt
@@ -8,7 +8,7 @@
 
 class ClassArchiveTest {
     @Test
-    fun `the run for the archive serves its requests and ends`() {
+    fun `the training run for the class archive serves its requests and exits`() {
         val java = Path.of(System.getProperty("java.home"), "bin", "java").toString()
         val process =
             ProcessBuilder(java, "-cp", System.getProperty("java.class.path"), "io.sequoiawheel.relay.ClassArchiveKt")
--- a/relay/src/test/kotlin/io/sequoiawheel/relay/ConfigurationControllerTest.kt
+++ b/relay/src/test/kotlin/io/sequoiawheel/relay/ConfigurationControllerTest.kt
@@ -22,7 +22,7 @@
     }
 
     @Test
-    fun `a revoked key is refused, also after the store's history was dropped`() {
+    fun `a revoked key is refused even if the store dropped the history of the change`() {
         start()
         fixture.store.dropHistory()
         fixture.configure(version = 6, keys = """["key-2"]""")
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `an unreadable configuration leaves the one in force`() {
+    fun `an unreadable configuration does not replace the one in force`() {
         start()
         fixture.store.put("config", "main", kotlinx.serialization.json.JsonPrimitive("x"))
         Thread.sleep(200)
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `keys are refused as not run once the store has been away too long`() {
+    fun `requests with a key are refused before dispatch once the store was unavailable for too long`() {
         start()
         fixture.store.isDown = true
         RelayFixture.awaitTrue("keyed requests are refused") { status() == "503" }
@@ -58,7 +58,7 @@
     }
 
     @Test
-    fun `an entry that cannot be read names no replica, and the others hold`() {
+    fun `an unreadable replica entry does not affect the other replicas`() {
         start()
         fixture.store.put("servers", "odd", kotlinx.serialization.json.JsonPrimitive(7))
         Thread.sleep(200)
--- a/relay/src/test/kotlin/io/sequoiawheel/relay/FreePorts.kt
+++ b/relay/src/test/kotlin/io/sequoiawheel/relay/FreePorts.kt
@@ -6,18 +6,19 @@
 import java.util.concurrent.atomic.AtomicInteger
 
 /**
- * Ports for listeners that are started later. They lie below the range from which the system takes ports of outgoing
- * connections, so that no connection made meanwhile holds one; each process begins at another place and uses each once.
+ * Allocates ports for listeners that are started later. The ports are below the ephemeral range of the operating
+ * system, so that no outgoing connection occupies one in the meantime. Each process starts at a different offset and
+ * uses each port once.
  */
 internal object FreePorts {
     private const val FIRST = 10_000
     private const val COUNT = 22_000
-    private const val PORTS_A_PROCESS = 97
+    private const val PORTS_PER_PROCESS = 97
 
-    private val next = AtomicInteger((ProcessHandle.current().pid() * PORTS_A_PROCESS % COUNT).toInt())
+    private val next = AtomicInteger((ProcessHandle.current().pid() * PORTS_PER_PROCESS % COUNT).toInt())
 
     /** Returns a port that is free for TCP and UDP. */
-    fun take(): Int =
+    fun allocate(): Int =
         generateSequence { FIRST + next.getAndIncrement() % COUNT }
             .take(COUNT)
             .first(::isFree)
--- a/relay/src/test/kotlin/io/sequoiawheel/relay/RelayProcessTest.kt
+++ b/relay/src/test/kotlin/io/sequoiawheel/relay/RelayProcessTest.kt
@@ -15,7 +15,7 @@
 import java.nio.file.Path
 import java.util.concurrent.TimeUnit
 
-/** The entry instance as a process of its own: settings, readiness, signals, exit codes and the lines it writes. */
+/** Runs an entry instance as a separate process and checks settings, readiness, signals, exit codes and log lines. */
 class RelayProcessTest {
     private val fixture = RelayFixture()
     private var process: Process? = null
@@ -33,7 +33,7 @@
         callers: Int,
         readiness: Int,
     ) = """{"node":"entry-1","ip":"127.0.0.1","zone":"a","listen":{"http":"127.0.0.1:$callers",
-        "ready":"127.0.0.1:$readiness"},"port_range":[${FreePorts.take()},0],"limits":{"cpu_share":1.0,"memory_mb":280},
+        "ready":"127.0.0.1:$readiness"},"port_range":[${FreePorts.allocate()},0],"limits":{"cpu_share":1.0,"memory_mb":280},
         "bounds":{"contact_ms":3000,"drain_ms":2000,"grace_s":8,"revoke_ms":5000,"retry_ratio":0.2,"retry_extra":54,
         "retry_window_s":10,"warmup_excess":1.5,"warmup_margin":5},
         "platform":{"addr":"127.0.0.1:${fixture.store.port}"}}"""
@@ -50,10 +50,10 @@
         return builder.start().also { process = it }
     }
 
-    private fun lines(): List<JsonObject> =
+    private fun logLines(): List<JsonObject> =
         Files.readAllLines(directory.resolve("out")).map { Json.parseToJsonElement(it).jsonObject }
 
-    private fun hasLine(message: String) = lines().any { it["message"]?.jsonPrimitive?.content == message }
+    private fun hasLogLine(message: String) = logLines().any { it["message"]?.jsonPrimitive?.content == message }
 
     private fun statusOf(port: Int): Int =
         runCatching {
@@ -67,40 +67,40 @@
     }
 
     @Test
-    fun `a process becomes ready, reloads, and ends with its work done`() {
+    fun `a process becomes ready, reloads its settings on SIGHUP and shuts down cleanly on SIGTERM`() {
         fixture.replica("r-1") { request, answer -> answer.whole(request, "world") }
         fixture.configure()
-        val readiness = FreePorts.take()
-        val started = start(settings(FreePorts.take(), readiness))
+        val readiness = FreePorts.allocate()
+        val started = start(settings(FreePorts.allocate(), readiness))
         RelayFixture.awaitTrue("the process is ready") { statusOf(readiness) == 200 }
         signal("HUP")
-        RelayFixture.awaitTrue("the reload is logged") { hasLine("reloaded") }
+        RelayFixture.awaitTrue("the reload is logged") { hasLogLine("reloaded") }
         signal("TERM")
         RelayFixture.awaitTrue("the process is not ready") { statusOf(readiness) == 503 }
         assertTrue(started.waitFor(9, TimeUnit.SECONDS), "the process ends")
         assertEquals(0, started.exitValue())
         listOf("started", "configuration in force", "leaving", "stopped").forEach {
-            assertTrue(hasLine(it), "$it is logged")
+            assertTrue(hasLogLine(it), "$it is logged")
         }
     }
 
     @Test
-    fun `settings that change without a signal are applied, unreadable ones are not`() {
-        val readiness = FreePorts.take()
-        val settings = settings(FreePorts.take(), readiness)
+    fun `changed settings are applied without a signal and unreadable ones are ignored`() {
+        val readiness = FreePorts.allocate()
+        val settings = settings(FreePorts.allocate(), readiness)
         fixture.configure()
         start(settings)
         RelayFixture.awaitTrue("the process is ready") { statusOf(readiness) == 200 }
         val file = directory.resolve("node.json")
         Files.writeString(file, "{")
-        RelayFixture.awaitTrue("the unreadable file is logged") { hasLine("settings unreadable, kept") }
+        RelayFixture.awaitTrue("the unreadable file is logged") { hasLogLine("settings unreadable, kept") }
         Files.writeString(file, settings)
-        RelayFixture.awaitTrue("the reload is logged") { hasLine("reloaded") }
+        RelayFixture.awaitTrue("the reload is logged") { hasLogLine("reloaded") }
         assertEquals(200, statusOf(readiness))
     }
 
     @Test
-    fun `settings without a field end the process with its name`() {
+    fun `a missing settings field ends the process with an error that names the field`() {
         val started = start("""{"node":"entry-1"}""")
         assertTrue(started.waitFor(9, TimeUnit.SECONDS))
         assertEquals(100, started.exitValue())
--- a/relay/src/test/kotlin/io/sequoiawheel/relay/ReplicaNoticeTest.kt
+++ b/relay/src/test/kotlin/io/sequoiawheel/relay/ReplicaNoticeTest.kt
@@ -139,8 +139,8 @@
     fun `instances tell each other of a leaving, so that one answer keeps all away`() {
         for (id in listOf("r-1", "r-2")) replica(id)
         fixture.configure()
-        fixture.startOnPort(FreePorts.take())
-        val other = fixture.startInstance("entry-2", FreePorts.take())
+        fixture.startOnPort(FreePorts.allocate())
+        val other = fixture.startInstance("entry-2", FreePorts.allocate())
         try {
             RelayFixture.awaitTrue("they know each other") {
                 List(2) { if (it == 0) fixture.daemon else other }.all { it.liveInstances == 2 }
--- a/relay/src/test/kotlin/io/sequoiawheel/relay/StoreDrillTest.kt
+++ b/relay/src/test/kotlin/io/sequoiawheel/relay/StoreRestoreTest.kt
@@ -10,8 +10,11 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** The store is away for a moment and comes back from a copy that is some time old. */
-class StoreDrillTest {
+/**
+ * The platform's store is unavailable for a moment and is then restored from an older copy, in a new era. Guards
+ * against instances that fall back to revoked keys, removed replicas or older configurations from that copy.
+ */
+class StoreRestoreTest {
     private val fixture = RelayFixture()
     private val instances = ArrayList<RelayDaemon>()
     private lateinit var replica: ReplicaStandIn
@@ -31,7 +34,7 @@
     }
 
     private fun start(count: Int) {
-        for (number in 1..count) instances += fixture.startInstance("entry-$number", FreePorts.take())
+        for (number in 1..count) instances += fixture.startInstance("entry-$number", FreePorts.allocate())
     }
 
     private fun status(
@@ -44,66 +47,66 @@
         status: String,
     ) = instances.forEach { RelayFixture.awaitTrue("$status for $key") { status(it, key) == status } }
 
-    /** Asks all instances for [millis] and checks that none honours [key]. */
+    /** Sends requests to all instances for [millis] and checks that none accepts [key]. */
     private fun assertRefused(
         key: String,
         millis: Long,
     ) {
         val end = System.nanoTime() + millis * NANOS_PER_MILLI
         while (System.nanoTime() < end) {
-            for (instance in instances) assertTrue(status(instance, key) != "200", "$key is honoured")
+            for (instance in instances) assertTrue(status(instance, key) != "200", "$key is accepted")
         }
     }
 
     @Test
-    fun `a key that was revoked stays revoked though the copy still holds it`() {
+    fun `a revoked key stays revoked after a restore from a copy that still contains it`() {
         start(1)
-        fixture.configure(version = 6, keys = WITHOUT_SECOND)
+        fixture.configure(version = 6, keys = FIRST_KEY_ONLY)
         awaitAll("key-2", "401")
-        val lost = fixture.store.drill(copy, AWAY_MILLIS)
+        val lostWrites = fixture.store.drill(copy, OUTAGE_MILLIS)
         assertRefused("key-2", WINDOW_MILLIS)
-        fixture.store.rewrite(lost)
+        fixture.store.rewrite(lostWrites)
         awaitAll("key-1", "200")
         assertRefused("key-2", WINDOW_MILLIS)
     }
 
     @Test
-    fun `a revocation that no instance saw before the drill is not outrun by an older proof`() {
+    fun `a key revoked before a restore is refused within the bound even if no instance read the revocation`() {
         start(1)
         awaitAll("key-2", "200")
         fixture.store.isDown = true
-        fixture.configure(version = 6, keys = WITHOUT_SECOND)
-        val acknowledged = System.nanoTime()
-        val lost = fixture.store.drill(copy, LONG_AWAY_MILLIS)
-        Thread.sleep(LISTED_MILLIS)
+        fixture.configure(version = 6, keys = FIRST_KEY_ONLY)
+        val revokedAt = System.nanoTime()
+        val lostWrites = fixture.store.drill(copy, LONG_OUTAGE_MILLIS)
+        Thread.sleep(LISTING_MILLIS)
         fixture.store.isDown = true
-        while (System.nanoTime() - acknowledged < REVOKE_MILLIS * NANOS_PER_MILLI) Thread.sleep(POLL_MILLIS)
+        while (System.nanoTime() - revokedAt < REVOKE_MILLIS * NANOS_PER_MILLI) Thread.sleep(POLL_MILLIS)
         assertRefused("key-2", WINDOW_MILLIS / 2)
         fixture.store.isDown = false
-        fixture.store.rewrite(lost)
+        fixture.store.rewrite(lostWrites)
         awaitAll("key-1", "200")
         awaitAll("key-2", "401")
     }
 
     @Test
-    fun `a drill in the middle of a configuration change ends with the newest version everywhere`() {
+    fun `all instances reach the newest configuration after a restore during a configuration change`() {
         start(1)
-        fixture.configure(version = 6, keys = WITHOUT_SECOND)
-        val lost = fixture.store.drill(copy, AWAY_MILLIS)
-        fixture.store.rewrite(lost)
+        fixture.configure(version = 6, keys = FIRST_KEY_ONLY)
+        val lostWrites = fixture.store.drill(copy, OUTAGE_MILLIS)
+        fixture.store.rewrite(lostWrites)
         fixture.configure(version = 8, keys = """["key-1","key-3"]""")
         awaitAll("key-3", "200")
         awaitAll("key-2", "401")
     }
 
     @Test
-    fun `two drills in a row give out revisions again and no older version comes into force`() {
+    fun `no older configuration is applied when two restores in a row reuse revisions`() {
         start(1)
-        for (version in 6..7) fixture.configure(version, keys = WITHOUT_SECOND)
+        for (version in 6..7) fixture.configure(version, keys = FIRST_KEY_ONLY)
         awaitAll("key-2", "401")
-        fixture.store.drill(copy, AWAY_MILLIS)
+        fixture.store.drill(copy, OUTAGE_MILLIS)
         assertRefused("key-2", WINDOW_MILLIS / 2)
-        fixture.store.drill(copy, AWAY_MILLIS)
+        fixture.store.drill(copy, OUTAGE_MILLIS)
         assertRefused("key-2", WINDOW_MILLIS / 2)
         fixture.configure(version = 9, keys = """["key-1","key-3"]""")
         awaitAll("key-3", "200")
@@ -111,13 +114,13 @@
     }
 
     @Test
-    fun `an answer that names an older era changes nothing`() {
+    fun `a response from an older era is ignored`() {
         start(1)
-        fixture.store.drill(fixture.store.copy(), AWAY_MILLIS)
+        fixture.store.drill(fixture.store.copy(), OUTAGE_MILLIS)
         fixture.configure(version = 6, keys = """["key-1","key-2","key-3"]""")
         awaitAll("key-3", "200")
         fixture.store.namedEra = "1"
-        fixture.configure(version = 7, keys = WITHOUT_SECOND)
+        fixture.configure(version = 7, keys = FIRST_KEY_ONLY)
         Thread.sleep(POLL_MILLIS * 10)
         assertTrue(status(instances.single(), "key-2") != "401")
         fixture.store.namedEra = null
@@ -125,83 +128,83 @@
     }
 
     @Test
-    fun `a replica and a zone that left before the drill stay away, one that the copy lacks stays`() {
-        val younger = fixture.replica("r-2") { request, answer -> answer.whole(request, "world") }
+    fun `a replica removed before a restore stays unused, and one missing from the copy stays in use`() {
+        val newReplica = fixture.replica("r-2") { request, answer -> answer.whole(request, "world") }
         start(1)
         fixture.store.remove("servers", "r-1")
-        RelayFixture.awaitTrue("the other one serves") { status(instances.single(), "key-1") == "200" }
-        val before = replica.requests.size
-        val lost = fixture.store.drill(copy, AWAY_MILLIS)
+        RelayFixture.awaitTrue("the other replica serves") { status(instances.single(), "key-1") == "200" }
+        val requestsBefore = replica.requests.size
+        val lostWrites = fixture.store.drill(copy, OUTAGE_MILLIS)
         val end = System.nanoTime() + WINDOW_MILLIS * NANOS_PER_MILLI
         while (System.nanoTime() < end) status(instances.single(), "key-1")
-        fixture.store.rewrite(lost)
+        fixture.store.rewrite(lostWrites)
         awaitAll("key-1", "200")
-        assertEquals(before, replica.requests.size)
-        assertTrue(younger.requests.isNotEmpty())
+        assertEquals(requestsBefore, replica.requests.size)
+        assertTrue(newReplica.requests.isNotEmpty())
     }
 
     @Test
-    fun `a zone that was taken out stays out until the operator wrote it again and took it back`() {
+    fun `an evacuated zone stays evacuated after a restore until the operator removes the evacuation`() {
         val other = fixture.replica("r-2", zone = "b") { request, answer -> answer.whole(request, "world") }
         copy = fixture.store.copy()
         start(1)
         fixture.store.put("evacuations", "a", JsonObject(emptyMap()))
-        RelayFixture.awaitTrue("nothing reaches the zone") {
-            val before = replica.requests.size
+        RelayFixture.awaitTrue("no request reaches the evacuated zone") {
+            val requestsBefore = replica.requests.size
             repeat(5) { status(instances.single(), "key-1") }
-            replica.requests.size == before
+            replica.requests.size == requestsBefore
         }
-        val before = replica.requests.size
-        val lost = fixture.store.drill(copy, AWAY_MILLIS)
+        val requestsBefore = replica.requests.size
+        val lostWrites = fixture.store.drill(copy, OUTAGE_MILLIS)
         repeat(CALLS) { status(instances.single(), "key-1") }
-        fixture.store.rewrite(lost)
+        fixture.store.rewrite(lostWrites)
         Thread.sleep(REWRITE_MILLIS)
         repeat(CALLS) { status(instances.single(), "key-1") }
-        assertEquals(before, replica.requests.size)
+        assertEquals(requestsBefore, replica.requests.size)
         fixture.store.remove("evacuations", "a")
         fixture.register("r-2", RelayFixture.PLAIN, other, state = "draining", zone = "b")
         RelayFixture.awaitTrue("the zone is used again") {
-            status(instances.single(), "key-1").let { replica.requests.size > before }
+            status(instances.single(), "key-1").let { replica.requests.size > requestsBefore }
         }
     }
 
     @Test
-    fun `twelve instances behind hubs see no older version, and make themselves known again`() {
+    fun `twelve instances that watch a hub apply no older configuration and register again after a restore`() {
         start(INSTANCES)
-        fixture.configure(version = 6, keys = WITHOUT_SECOND)
+        fixture.configure(version = 6, keys = FIRST_KEY_ONLY)
         awaitAll("key-2", "401")
         val random = Random(SEED)
-        val lost = fixture.store.drill(copy, AWAY_MILLIS)
-        val writer = Thread { fixture.store.rewrite(lost.shuffled(random), pauseMillis = REWRITE_MILLIS) }
+        val lostWrites = fixture.store.drill(copy, OUTAGE_MILLIS)
+        val writer = Thread { fixture.store.rewrite(lostWrites.shuffled(random), pauseMillis = REWRITE_MILLIS) }
         writer.start()
         assertRefused("key-2", WINDOW_MILLIS)
         writer.join()
         awaitAll("key-1", "200")
         fixture.configure(version = 7, keys = """["key-1","key-3"]""")
         awaitAll("key-3", "200")
-        RelayFixture.awaitTrue("all are registered again") {
+        RelayFixture.awaitTrue("all instances are registered again") {
             fixture.store.names("entry-instances").size == INSTANCES
         }
     }
 
     private companion object {
         const val KEYS = """["key-1","key-2"]"""
-        const val WITHOUT_SECOND = """["key-1"]"""
+        const val FIRST_KEY_ONLY = """["key-1"]"""
         const val INSTANCES = 12
         const val SEED = 7
         const val CALLS = 10
-        const val AWAY_MILLIS = 300L
+        const val OUTAGE_MILLIS = 300L
 
-        /** The copy is listed late enough that its age alone would carry a key beyond the bound. */
-        const val LONG_AWAY_MILLIS = 1_500L
-        const val LISTED_MILLIS = 500L
+        /** The copy is listed so late that treating it as current would accept the key beyond the revocation bound. */
+        const val LONG_OUTAGE_MILLIS = 1_500L
+        const val LISTING_MILLIS = 500L
 
-        /** The operator writes again some moments after the store's return. */
+        /** Delay until the operator repeats lost writes after a restore. */
         const val REWRITE_MILLIS = 1_000L
         const val WINDOW_MILLIS = 2_500L
         const val POLL_MILLIS = 50L
 
-        /** The bound of the fixture's settings. */
+        /** The revocation bound in the settings of the fixture. */
         const val REVOKE_MILLIS = 5_000L
         const val NANOS_PER_MILLI = 1_000_000L
     }
