--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/StoreClient.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/StoreClient.kt
@@ -228,12 +228,7 @@
         while (idle.isNotEmpty()) {
             val kept = idle.removeLast()
             val connection = kept.connection
-            if (kept.endpoint == target &&
-                connection.isOpen &&
-                connection.idleMillis < KEEP_MILLIS
-            ) {
-                return connection
-            }
+            if (kept.endpoint == target && connection.isOpen && connection.idleMillis < KEEP_MILLIS) return connection
             connection.close()
         }
         return connector.connect(target)
