--- a/relay/src/main/kotlin/io/sequoiawheel/relay/filter/ConfigurationFilters.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/filter/ConfigurationFilters.kt
@@ -138,7 +138,7 @@
     ) {
         val remaining = remainingMillis()
         if (remaining != null && !mayFinish(exchange, remaining)) {
-            exchange.response.closeAfter()
+            exchange.response.closeWhenComplete()
             exchange.refuse(
                 NotRunProof.NOTHING_SENT,
                 ResultCode.LEAVING,
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/filter/OutcomeFilter.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/filter/OutcomeFilter.kt
@@ -33,7 +33,7 @@
     private fun recordResult(exchange: Exchange) {
         val durationMillis = clock.nowMillis() - exchange.request.receivedAtMillis
         val result = exchange.result ?: ResultCode.OK
-        metrics.finished(exchange.route?.kind?.name ?: "NONE", result.name, durationMillis)
+        metrics.recordRequest(exchange.route?.kind?.name ?: "NONE", result.name, durationMillis)
         val fields =
             mapOf(
                 "request" to exchange.requestId,
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/CallRelay.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/CallRelay.kt
@@ -173,7 +173,7 @@
             exchange.result = ResultCode.OK
             exchange.logFields["replica"] = triedReplicas.last().toString()
             exchange.logFields["attempts"] = triedReplicas.size
-            exchange.response.whole(response.head.status(), requests.callerHeaders(response.head), response.body)
+            exchange.response.sendComplete(response.head.status(), requests.callerHeaders(response.head), response.body)
         }
 
         private fun describe(attempt: AttemptResult) =
@@ -251,7 +251,7 @@
         ): AttemptResult {
             if (head.isMisdirected) replica.leave(LeaveReason.REPLACED)
             if (runs == 0) exchange.mayHaveRun = false
-            val bodyError = lease.connection.skipFailureBody()
+            val bodyError = lease.connection.skipErrorBody()
             if (bodyError == null) lease.complete() else exchange.logFields["refusalBody"] = bodyError
             return AttemptResult.NotRun(
                 NotRunProof.REFUSED_BY_REPLICA,
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationAttempt.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationAttempt.kt
@@ -199,7 +199,7 @@
         val status = head.status().code()
         if (head.isNotRun) {
             if (head.isMisdirected) replica.leave(LeaveReason.REPLACED)
-            val bodyError = opened.skipFailureBody()
+            val bodyError = opened.skipErrorBody()
             if (bodyError == null) isExchangeComplete = true else exchange.logFields["refusalBody"] = bodyError
             signals.trySend(
                 GenerationSignal.NotRun(this, NotRunProof.REFUSED_BY_REPLICA, "$replica refused with status $status"),
@@ -207,7 +207,7 @@
             return
         }
         if (status !in SUCCESS) {
-            val body = opened.receiveFailureBody()
+            val body = opened.receiveErrorBody()
             isExchangeComplete = true
             signals.trySend(GenerationSignal.Failed(this, head, body))
             return
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
@@ -25,7 +25,7 @@
         notice.coldForMillis?.let(replica::coldFor)
         if (notice.isLeaving) markLeaving(replica, head)
         notice.unreadable?.let { value ->
-            log.belief("unreadable retry delay of a replica", mapOf("replica" to replica.toString(), "value" to value))
+            log.stateChange("unreadable retry delay of a replica", mapOf("replica" to replica.toString(), "value" to value))
         }
         notice.quietMillis?.let { backOffFrom(replica, head, it) }
     }
@@ -37,7 +37,7 @@
         if (replica.isLeaving) return
         replica.leave(LeaveReason.ANNOUNCED)
         metrics.count("replica.notices", "leaving")
-        log.belief(
+        log.stateChange(
             "replica announced that it is leaving",
             mapOf(
                 "replica" to replica.toString(),
@@ -55,7 +55,7 @@
     ) {
         if (millis > replica.remainingPauseMillis) {
             metrics.count("replica.notices", "quiet")
-            log.belief(
+            log.stateChange(
                 "replica requested backoff",
                 mapOf(
                     "replica" to replica.toString(),
--- a/relay/src/test/kotlin/io/sequoiawheel/relay/ReplicaNoticeTest.kt
+++ b/relay/src/test/kotlin/io/sequoiawheel/relay/ReplicaNoticeTest.kt
@@ -140,8 +140,8 @@
     fun `one announcement keeps all instances away from a leaving replica`() {
         for (id in listOf("r-1", "r-2")) replica(id)
         fixture.configure()
-        fixture.startOnPort(FreePorts.take())
-        val other = fixture.startInstance("entry-2", FreePorts.take())
+        fixture.startOnPort(FreePorts.allocate())
+        val other = fixture.startInstance("entry-2", FreePorts.allocate())
         try {
             RelayFixture.awaitTrue("both instances are live") {
                 List(2) { if (it == 0) fixture.daemon else other }.all { it.liveInstances == 2 }
