--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/KindWatcher.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/KindWatcher.kt
@@ -165,7 +165,7 @@
         succeeded()
         // Another call may have met a newer era while this response was under way.
         if (sources.era != era) return null
-        val proof = changes.proofOffsetMillis?.let { asOf.plus(it) }
+        val proof = changes.confirmationOffsetMillis?.let { asOf.plus(it) }
         apply(changes, proof)
         val isStale = proof == null || freshness.now().monotonicMillis - proof.monotonicMillis > STALE_HUB_MILLIS
         if (isProbe && isStale) {
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/StoreClient.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/StoreClient.kt
@@ -215,7 +215,7 @@
         }
         return when (answer.status) {
             in SUCCESS -> Answer(answer.status, answer.text, eras?.current).right()
-            StoreProtocol.HISTORY_GONE -> StoreFailure.HistoryGone("history is gone").left()
+            StoreProtocol.HISTORY_EXPIRED -> StoreFailure.HistoryGone("history is gone").left()
             CONFLICT -> StoreFailure.Conflict(answer.text.take(DETAIL_CHARACTERS)).left()
             else -> StoreFailure.Unavailable("status ${answer.status}").left()
         }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/filter/ConfigurationFilters.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/filter/ConfigurationFilters.kt
@@ -104,7 +104,7 @@
         val route = checkNotNull(exchange.route)
         val wait =
             exchange.request.headers
-                .get(Headers.TIME_LEFT)
+                .get(Headers.TIMEOUT_MILLIS)
                 ?.trim()
                 ?.toDoubleOrNull()
                 ?.toLong()
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/filter/Exchange.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/filter/Exchange.kt
@@ -21,7 +21,7 @@
 
     /** What the request will need if it is a generation. */
     val demand: GenerationDemand by lazy {
-        EngineProtocol.demand(request.headers.get(Headers.TOKENS), request.headers.get(Headers.OUTPUT_ESTIMATE))
+        EngineProtocol.decodeDemand(request.headers.get(Headers.TOKENS), request.headers.get(Headers.OUTPUT_ESTIMATE))
     }
 
     var configuration: RelayConfiguration? = null
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/BackendRequests.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/BackendRequests.kt
@@ -33,7 +33,7 @@
                 request.headers.contains(HttpHeaderNames.TRANSFER_ENCODING)
         if (isFramed || request.body.isNotEmpty()) headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body.size)
         headers.set(Headers.EXPECTED_REPLICA, replica.entry.id.value)
-        headers.set(Headers.TIME_LEFT, (exchange.deadlineMillis - clock.nowMillis()).coerceAtLeast(1))
+        headers.set(Headers.TIMEOUT_MILLIS, (exchange.deadlineMillis - clock.nowMillis()).coerceAtLeast(1))
         exchange.workspace?.let { headers.set(Headers.WORKSPACE, it.name.value) }
         extra.forEach { (name, value) -> headers.set(name, value) }
         return result
@@ -48,7 +48,7 @@
     }
 
     private fun droppedNames(headers: HttpHeaders): Set<String> =
-        (connectionNames(headers) - Headers.protectedFromConnection) + HOP_BY_HOP + Headers.setBySystem
+        (connectionNames(headers) - Headers.endToEnd) + HOP_BY_HOP + Headers.setBySystem
 
     /** Returns the names that a Connection header declares to concern this connection only. */
     private fun connectionNames(headers: HttpHeaders): Set<String> =
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationRun.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationRun.kt
@@ -39,7 +39,7 @@
     private val delivery =
         Delivery(
             exchange.request.headers
-                .get(Headers.LAST_EVENT)
+                .get(Headers.LAST_EVENT_ID)
                 ?.trim()
                 ?.toLongOrNull(),
         )
@@ -264,7 +264,7 @@
     private fun continueFrom(copy: RunCopyAt) {
         val headers = HashMap<String, String>()
         headers[Headers.CONTINUE_FROM] = copy.copy.headerValue
-        headers[Headers.LAST_EVENT] = (delivery.lastId ?: 0).toString()
+        headers[Headers.LAST_EVENT_ID] = (delivery.lastId ?: 0).toString()
         successor = attempt(copy.destination, headers).also { it.start(scope) }
     }
 
@@ -298,7 +298,7 @@
         retryAfterMillis = (placement as? Placement.Later)?.afterMillis ?: RETRY_AFTER_MILLIS
         val replica = (placement as? Placement.At)?.replica ?: return false
         val resumed = delivery.lastId?.takeIf { delivery.delivered > 0 }
-        val headers = resumed?.let { mapOf(Headers.LAST_EVENT to it.toString()) }.orEmpty()
+        val headers = resumed?.let { mapOf(Headers.LAST_EVENT_ID to it.toString()) }.orEmpty()
         current =
             attempt(replica, headers).also {
                 it.start(scope)
@@ -312,7 +312,7 @@
         headers: Map<String, String>,
     ): GenerationAttempt {
         val backup = if (wantsBackup) copier.chooseBackup(replica, lost, service, demand) else null
-        val backupHeader = backup?.let { mapOf(Headers.BACKUP_AT to it.entry.address) }.orEmpty()
+        val backupHeader = backup?.let { mapOf(Headers.BACKUP_REPLICA to it.entry.address) }.orEmpty()
         return GenerationAttempt(context, exchange, replica, demand, backup, headers + backupHeader, signals.sender)
     }
 
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
@@ -24,10 +24,10 @@
         val notice = ReplicaNotice.decode(head.status().code()) { head.headers().getAll(it) }
         notice.coldForMillis?.let(replica::coldFor)
         if (notice.isLeaving) leave(replica, head)
-        notice.unreadable?.let { value ->
+        notice.invalidRetryAfter?.let { value ->
             log.belief("wait of a replica unreadable", mapOf("replica" to replica.toString(), "value" to value))
         }
-        notice.quietMillis?.let { quietFor(replica, head, it) }
+        notice.pauseMillis?.let { quietFor(replica, head, it) }
     }
 
     private fun leave(
