--- a/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/CallBudget.kt
+++ b/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/CallRateLimiter.kt
@@ -4,12 +4,12 @@
 import java.util.concurrent.atomic.AtomicReference
 
 /**
- * Bounds the calls of one daemon to the platform by a token bucket. It is thread-safe.
+ * Limits the rate of calls from one daemon to the platform with a token bucket. Thread-safe.
  *
  * @param callsPerSecond sustained rate
- * @param burst calls that may be made at once when the bucket is full
+ * @param burst capacity of the bucket: the number of calls that can be made at once when it is full
  */
-class CallBudget(
+class CallRateLimiter(
     private val callsPerSecond: Double,
     private val burst: Int,
     private val clock: Clock,
@@ -21,13 +21,13 @@
         require(burst > 0) { "burst must be positive" }
     }
 
-    /** Takes one call and returns 0, or takes nothing and returns the milliseconds until a call is available. */
-    fun take(): Long {
+    /** Takes one token and returns 0, or takes none and returns the milliseconds until one is available. */
+    fun tryAcquire(): Long {
         while (true) {
             val before = state.get()
             val now = clock.nowMillis()
             val available = before.refilledAt(now)
-            if (available < 1.0) return millisUntilOne(available)
+            if (available < 1.0) return millisUntilNextToken(available)
             if (state.compareAndSet(before, State(available - 1.0, now))) return 0
         }
     }
@@ -37,7 +37,7 @@
         return (tokens + elapsedMillis * callsPerSecond / MILLIS_PER_SECOND).coerceAtMost(burst.toDouble())
     }
 
-    private fun millisUntilOne(available: Double): Long =
+    private fun millisUntilNextToken(available: Double): Long =
         ((1.0 - available) * MILLIS_PER_SECOND / callsPerSecond).toLong() + 1
 
     private data class State(
--- a/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/FullJitterBackoff.kt
+++ b/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/FullJitterBackoff.kt
@@ -3,46 +3,49 @@
 import org.apache.commons.rng.UniformRandomProvider
 
 /**
- * Delays between the attempts of one duty: uniform between 0 and a ceiling that doubles with each failure. The full
- * range spreads the daemons after an outage. An object belongs to one coroutine and is not thread-safe.
+ * Exponential backoff with full jitter: each delay is uniform between 0 and a ceiling that doubles with each failure.
+ * Drawing from the full range keeps daemons from retrying in step after an outage. Not thread-safe; each coroutine uses
+ * its own object.
  *
- * @param firstCeilingMillis ceiling after the first failure
- * @param lastCeilingMillis ceiling that no delay exceeds
+ * @param initialCeilingMillis ceiling after the first failure
+ * @param maximumCeilingMillis upper bound of the ceiling
  */
 class FullJitterBackoff(
     private val random: UniformRandomProvider,
-    private val firstCeilingMillis: Long = FIRST_CEILING_MILLIS,
-    private val lastCeilingMillis: Long = LAST_CEILING_MILLIS,
+    private val initialCeilingMillis: Long = INITIAL_CEILING_MILLIS,
+    private val maximumCeilingMillis: Long = MAXIMUM_CEILING_MILLIS,
 ) {
-    private var ceilingMillis = firstCeilingMillis
+    private var ceilingMillis = initialCeilingMillis
 
     init {
-        require(firstCeilingMillis in 1..lastCeilingMillis) { "firstCeilingMillis must be 1 to lastCeilingMillis" }
+        require(initialCeilingMillis in 1..maximumCeilingMillis) {
+            "initialCeilingMillis must be between 1 and maximumCeilingMillis"
+        }
     }
 
-    /** Counts a failure and returns the milliseconds to wait before the next attempt. */
+    /** Records a failure and returns the delay before the next attempt. */
     fun nextDelayMillis(): Long {
         val delay = random.nextLong(ceilingMillis + 1)
-        ceilingMillis = if (ceilingMillis > lastCeilingMillis / 2) lastCeilingMillis else ceilingMillis * 2
+        ceilingMillis = if (ceilingMillis > maximumCeilingMillis / 2) maximumCeilingMillis else ceilingMillis * 2
         return delay
     }
 
-    /** Returns a delay that spreads the first calls of many daemons over [spreadMillis]. */
+    /** Returns a random delay that spreads the first calls of many daemons over [spreadMillis]. */
     fun spreadDelayMillis(spreadMillis: Long = OUTAGE_SPREAD_MILLIS): Long = random.nextLong(spreadMillis + 1)
 
-    /** Forgets the failures after a success. */
+    /** Resets the ceiling after a success. */
     fun reset() {
-        ceilingMillis = firstCeilingMillis
+        ceilingMillis = initialCeilingMillis
     }
 
     companion object {
-        /** The default ceiling after the first failure. */
-        const val FIRST_CEILING_MILLIS = 100L
+        /** Default ceiling after the first failure. */
+        const val INITIAL_CEILING_MILLIS = 100L
 
-        /** The default ceiling after many failures. */
-        const val LAST_CEILING_MILLIS = 20_000L
+        /** Default upper bound of the ceiling. */
+        const val MAXIMUM_CEILING_MILLIS = 20_000L
 
-        /** The period over which the first calls after an outage are spread. */
+        /** Default period over which the first calls after an outage are spread. */
         const val OUTAGE_SPREAD_MILLIS = 10_000L
     }
 }
--- a/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/HttpObjectApi.kt
+++ b/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/HttpObjectApi.kt
@@ -16,7 +16,7 @@
 import io.sequoiawheel.objectapi.internal.PlatformReply
 import io.sequoiawheel.objectapi.internal.PlatformWire
 
-/** The object API over HTTP at [baseUrl]. It is thread-safe. */
+/** Client of the object API at [baseUrl] over HTTP. Thread-safe. */
 class HttpObjectApi(
     private val baseUrl: String,
     private val transport: PlatformTransport,
@@ -28,13 +28,13 @@
                     reply.decode(PlatformWire.ObjectBody.serializer()).map { StoredObject(key, it.version, it.value) }
 
                 reply.status == NOT_FOUND -> notFound(key).left()
-                else -> reply.unexpected().left()
+                else -> reply.unexpectedStatus().left()
             }
         }
 
     override suspend fun list(kind: ObjectKind): Either<Failure, ObjectListing> =
         transport.exchange(PlatformCall("GET", "$baseUrl/objects/${kind.path}")).flatMap { reply ->
-            if (!reply.isSuccess) return@flatMap reply.unexpected().left()
+            if (!reply.isSuccess) return@flatMap reply.unexpectedStatus().left()
             reply.decode(PlatformWire.ListBody.serializer()).map {
                 PlatformWire.listing(kind, it.revision, it.objects)
             }
@@ -67,7 +67,7 @@
     ): Either<Failure, ObjectListing> {
         val url = "$baseUrl/watch/${kind.path}?after=$revision&waitMillis=$waitMillis"
         return transport.exchange(PlatformCall("GET", url, waitMillis = waitMillis)).flatMap { reply ->
-            if (!reply.isSuccess) return@flatMap reply.unexpected().left()
+            if (!reply.isSuccess) return@flatMap reply.unexpectedStatus().left()
             reply.decode(PlatformWire.WatchBody.serializer()).map {
                 PlatformWire.listing(kind, it.revision, it.changes)
             }
@@ -77,7 +77,7 @@
     private fun url(key: ObjectKey) = "$baseUrl/objects/${key.kind.path}/${key.name.encodeURLPathPart()}"
 
     private fun notFound(key: ObjectKey) =
-        Failure(ResultCode.OBJECT_NOT_FOUND, "there is no object ${key.kind.path}/${key.name}")
+        Failure(ResultCode.OBJECT_NOT_FOUND, "object ${key.kind.path}/${key.name} does not exist")
 
     private fun writeFailure(
         key: ObjectKey,
@@ -85,8 +85,10 @@
     ): Failure =
         when (reply.status) {
             NOT_FOUND -> notFound(key)
-            CONFLICT -> Failure(ResultCode.DOCUMENT_CONFLICT, "${key.kind.path}/${key.name} has another version")
-            else -> reply.unexpected()
+            CONFLICT ->
+                Failure(ResultCode.DOCUMENT_CONFLICT, "object ${key.kind.path}/${key.name} has a different version")
+
+            else -> reply.unexpectedStatus()
         }
 
     private companion object {
--- a/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/HttpWeightStore.kt
+++ b/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/HttpWeightStore.kt
@@ -13,7 +13,7 @@
 import io.sequoiawheel.objectapi.internal.PlatformReply
 import io.sequoiawheel.objectapi.internal.PlatformWire
 
-/** The weight store over HTTP at [baseUrl]. It is thread-safe. */
+/** Client of the weight store at [baseUrl] over HTTP. Thread-safe. */
 class HttpWeightStore(
     private val baseUrl: String,
     private val transport: PlatformTransport,
@@ -24,7 +24,7 @@
             when {
                 reply.isSuccess -> Unit.right()
                 reply.status == TOO_MANY_LOADS -> rateExceeded(weight, reply).left()
-                else -> reply.unexpected().left()
+                else -> reply.unexpectedStatus().left()
             }
         }
     }
@@ -36,7 +36,7 @@
         val body = reply.decode(PlatformWire.RateBody.serializer()).getOrElse { PlatformWire.RateBody() }
         return Failure(
             ResultCode.WEIGHT_RATE_EXCEEDED,
-            "the weight store cannot serve $weight yet",
+            "the weight store rejected the load of $weight: load rate exceeded",
             body.retryAfterMillis,
         )
     }
--- a/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/PlatformSettings.kt
+++ b/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/PlatformSettings.kt
@@ -3,15 +3,15 @@
 import kotlinx.serialization.Serializable
 
 /**
- * How one daemon reaches the platform.
+ * Addresses, timeouts and rate limits for the connection of one daemon to the platform.
  *
  * @property objectApi base URL of the object API, such as `http://127.0.0.1:9000`
  * @property instanceList base URL of the instance list
  * @property weightStore base URL of the weight store
- * @property connectTimeoutMillis limit for opening a connection
- * @property requestTimeoutMillis limit for a whole call; a watch has its waiting time in addition
- * @property callsPerSecond sustained calls of this daemon, reads and writes together
- * @property callBurst calls that may be made at once after a quiet period
+ * @property connectTimeoutMillis timeout for opening a connection
+ * @property requestTimeoutMillis timeout for a complete call; the waiting time of a watch is added to it
+ * @property callsPerSecond sustained rate of this daemon, for reads and writes combined
+ * @property callBurst number of calls that can be made at once after an idle period
  */
 @Serializable
 data class PlatformSettings(
@@ -24,10 +24,10 @@
     val callBurst: Int = DEFAULT_CALL_BURST,
 ) {
     companion object {
-        /** 340 daemons share about 2,000 reads and several hundred writes a second; claims come in bursts. */
+        /** 340 daemons share about 2,000 reads and several hundred writes per second; claims arrive in bursts. */
         const val DEFAULT_CALLS_PER_SECOND = 20.0
 
-        /** Lets a daemon list every kind and claim a burst of calls right after its start. */
+        /** Sufficient to list every kind of object and to write a burst of claims immediately after startup. */
         const val DEFAULT_CALL_BURST = 100
     }
 }
--- a/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/PlatformTransport.kt
+++ b/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/PlatformTransport.kt
@@ -27,16 +27,16 @@
 import kotlinx.coroutines.ensureActive
 
 /**
- * The HTTP connection of one daemon to the platform, shared by its clients, with one call budget for all of them.
+ * The HTTP transport from one daemon to the platform. All clients of the daemon share it and its rate limiter.
  *
- * It never repeats a call. A call without an answer is `PLATFORM_UNAVAILABLE`; the writer reads back whether its write
- * took effect.
+ * Calls are never retried. A call without a response fails with `PLATFORM_UNAVAILABLE`; after such a write, the caller
+ * must read the object to find out whether the write took effect.
  */
 class PlatformTransport(
     private val settings: PlatformSettings,
     clock: Clock = Clock { System.nanoTime() / NANOS_PER_MILLI },
 ) : AutoCloseable {
-    private val budget = CallBudget(settings.callsPerSecond, settings.callBurst, clock)
+    private val rateLimiter = CallRateLimiter(settings.callsPerSecond, settings.callBurst, clock)
     private val client =
         HttpClient(CIO) {
             followRedirects = false
@@ -51,21 +51,21 @@
             }
         }
 
-    /** Makes [call] once. Returns any reply below 500; everything else is `PLATFORM_UNAVAILABLE`. */
+    /** Sends [call] once. Returns any response with a status below 500, otherwise fails with `PLATFORM_UNAVAILABLE`. */
     internal suspend fun exchange(call: PlatformCall): Either<Failure, PlatformReply> {
-        takeFromBudget()?.let { return it.left() }
+        awaitCallPermit()?.let { return it.left() }
         val reply =
             try {
                 send(call)
             } catch (error: CancellationException) {
-                // Ktor also cancels a call when its connection closes; only the caller's own cancellation propagates.
+                // Ktor also cancels a call when its connection closes; only a cancellation of the caller is propagated.
                 currentCoroutineContext().ensureActive()
                 return unavailable(call, error)
             } catch (error: Exception) {
                 return unavailable(call, error)
             }
         return if (reply.status >= SERVER_ERROR || reply.status == TOO_MANY_CALLS && call.isObjectCall) {
-            unavailable("${call.method} ${call.url} was answered with status ${reply.status}").left()
+            unavailable("${call.method} ${call.url} returned status ${reply.status}").left()
         } else {
             reply.right()
         }
@@ -73,13 +73,13 @@
 
     override fun close() = client.close()
 
-    private suspend fun takeFromBudget(): Failure? {
+    private suspend fun awaitCallPermit(): Failure? {
         var waitedMillis = 0L
         while (true) {
-            val waitMillis = budget.take()
+            val waitMillis = rateLimiter.tryAcquire()
             if (waitMillis == 0L) return null
             if (waitedMillis + waitMillis > settings.requestTimeoutMillis) {
-                return unavailable("the call budget is spent; nothing was sent", waitMillis)
+                return unavailable("the call rate limit is exhausted; the request was not sent", waitMillis)
             }
             delay(waitMillis)
             waitedMillis += waitMillis
@@ -101,7 +101,7 @@
         call: PlatformCall,
         error: Exception,
     ): Either<Failure, Nothing> =
-        unavailable("${call.method} ${call.url} had no answer: ${error.message ?: error.javaClass.simpleName}").left()
+        unavailable("no response to ${call.method} ${call.url}: ${error.message ?: error.javaClass.simpleName}").left()
 
     private fun unavailable(
         detail: String,
--- a/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/internal/PlatformCall.kt
+++ b/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/internal/PlatformCall.kt
@@ -1,11 +1,11 @@
 package io.sequoiawheel.objectapi.internal
 
 /**
- * One call to the platform.
+ * A call to the platform.
  *
- * @property expectedVersion the `If-Match` header of a conditional write
- * @property waitMillis how long the platform may hold the answer
- * @property isObjectCall whether status 429 means that the object API is overloaded
+ * @property expectedVersion value of the `If-Match` header of a conditional write
+ * @property waitMillis how long the platform may delay the response to a watch
+ * @property isObjectCall whether the call goes to the object API, where status 429 means overload
  */
 internal data class PlatformCall(
     val method: String,
--- a/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/internal/PlatformReply.kt
+++ b/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/internal/PlatformReply.kt
@@ -8,25 +8,26 @@
 import kotlinx.serialization.DeserializationStrategy
 import kotlinx.serialization.SerializationException
 
-/** The reply to one call. */
+/** The response to a [PlatformCall]. */
 internal data class PlatformReply(
     val status: Int,
     val isSuccess: Boolean,
     val body: String,
 ) {
-    /** Returns the decoded body; a body that does not parse counts as no answer. */
+    /** Returns the decoded body. An undecodable body is `PLATFORM_UNAVAILABLE`, as if there were no response. */
     fun <T> decode(deserializer: DeserializationStrategy<T>): Either<Failure, T> =
         try {
             PlatformWire.json.decodeFromString(deserializer, body).right()
         } catch (error: SerializationException) {
-            unreadable(error).left()
+            undecodable(error).left()
         } catch (error: IllegalArgumentException) {
-            unreadable(error).left()
+            undecodable(error).left()
         }
 
-    /** Returns the failure for a status that the protocol does not define. */
-    fun unexpected(): Failure = Failure(ResultCode.PLATFORM_UNAVAILABLE, "the platform answered with status $status")
+    /** Returns the failure for a status that the caller does not handle. */
+    fun unexpectedStatus(): Failure =
+        Failure(ResultCode.PLATFORM_UNAVAILABLE, "the platform returned unexpected status $status")
 
-    private fun unreadable(error: Exception) =
-        Failure(ResultCode.PLATFORM_UNAVAILABLE, "the platform's answer is unreadable: ${error.message}")
+    private fun undecodable(error: Exception) =
+        Failure(ResultCode.PLATFORM_UNAVAILABLE, "the platform's response cannot be decoded: ${error.message}")
 }
--- a/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/internal/PlatformWire.kt
+++ b/objectapi/src/main/kotlin/io/sequoiawheel/objectapi/internal/PlatformWire.kt
@@ -9,9 +9,9 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
 
-/** The JSON bodies of the platform's protocol. Values of objects travel as strings, so that their text is kept. */
+/** JSON bodies of the platform's protocol. Object values are encoded as strings, which preserves their exact text. */
 internal object PlatformWire {
-    /** Ignores fields that a newer platform may add. */
+    /** Ignores unknown fields, which a newer version of the platform may add. */
     val json = Json { ignoreUnknownKeys = true }
 
     @Serializable
@@ -25,7 +25,7 @@
         val version: Long,
     )
 
-    /** An object of a listing; [value] is absent if the object was deleted. */
+    /** An object in a listing or watch; [value] is null if the object was deleted. */
     @Serializable
     data class NamedObject(
         val name: String,
@@ -55,7 +55,7 @@
         val retryAfterMillis: Long? = null,
     )
 
-    /** Returns the listing of the objects that exist; deletions only advance the revision. */
+    /** Returns a listing of the existing objects; deleted ones are omitted and only advance the revision. */
     fun listing(
         kind: ObjectKind,
         revision: Long,
--- a/objectapi/src/test/kotlin/io/sequoiawheel/objectapi/CallBudgetConcurrencyTest.kt
+++ b/objectapi/src/test/kotlin/io/sequoiawheel/objectapi/CallRateLimiterConcurrencyTest.kt
@@ -4,12 +4,12 @@
 import org.jetbrains.lincheck.datastructures.Operation
 import org.junit.jupiter.api.Test
 
-/** Guards against two coroutines that take the last call of the budget together. */
-class CallBudgetConcurrencyTest {
-    private val budget = CallBudget(callsPerSecond = 1.0, burst = 4, clock = { 0L })
+/** Guards against two concurrent callers that both acquire the last token of the bucket. */
+class CallRateLimiterConcurrencyTest {
+    private val limiter = CallRateLimiter(callsPerSecond = 1.0, burst = 4, clock = { 0L })
 
     @Operation
-    fun take(): Long = budget.take()
+    fun tryAcquire(): Long = limiter.tryAcquire()
 
     @Test
     fun `operations are linearizable`() =
--- a/objectapi/src/test/kotlin/io/sequoiawheel/objectapi/HttpObjectApiTest.kt
+++ b/objectapi/src/test/kotlin/io/sequoiawheel/objectapi/HttpObjectApiTest.kt
@@ -43,9 +43,9 @@
     private fun transport(url: String) =
         PlatformTransport(PlatformSettings(url, url, url, requestTimeoutMillis = 1_000))
 
-    /** Guards against two holders of one lease after a race of conditional updates. */
+    /** Guards against two holders of one lease after concurrent conditional writes. */
     @Test
-    fun `one of many racing writers wins and the others see a conflict`() =
+    fun `one of several concurrent writers succeeds and the others get a conflict`() =
         withStore { api, _ ->
             val outcomes = coroutineScope { (1..8).map { async { api.put(key, "holder-$it", 0) } }.awaitAll() }
             assertEquals(1, outcomes.count { it.isRight() })
@@ -55,18 +55,18 @@
             assertEquals("holder-$winner", api.get(key).getOrNull()?.value)
         }
 
-    /** Guards against a lost answer that is reported as a failed write, after which a claim would be made twice. */
+    /** Guards against reporting a lost response as a failed write, after which a claim would be made twice. */
     @Test
-    fun `a lost answer is unavailable and the read-back finds the write`() =
+    fun `a lost response is reported as unavailable and a later read returns the write`() =
         withStore { api, server ->
             server.link.order(LinkFaults(loseAnswers = 1))
             assertEquals(ResultCode.PLATFORM_UNAVAILABLE, api.put(key, "mine", 0).leftOrNull()?.code)
             assertEquals("mine", api.get(key).getOrNull()?.value)
         }
 
-    /** Guards against a repeat of a write inside the client, which would turn a lost answer into a conflict. */
+    /** Guards against retries inside the client, which would turn a lost response into a conflict. */
     @Test
-    fun `a write in an outage is sent once and has no effect`() =
+    fun `a write during an outage is not retried and has no effect`() =
         withStore { api, server ->
             server.link.order(LinkFaults(outage = true))
             assertEquals(ResultCode.PLATFORM_UNAVAILABLE, api.put(key, "mine", 0).leftOrNull()?.code)
@@ -77,9 +77,9 @@
             assertEquals(ResultCode.OBJECT_NOT_FOUND, api.get(key).leftOrNull()?.code)
         }
 
-    /** Guards against a stalled write that takes effect twice, or over a later write, once the link recovers. */
+    /** Guards against a stalled write that is applied twice, or overwrites a later write, when the link recovers. */
     @Test
-    fun `a stalled write takes effect at most once and never over a later one`() =
+    fun `a stalled write is applied at most once and never overwrites a later one`() =
         withStore { api, server ->
             server.link.order(LinkFaults(stalled = true))
             assertEquals(ResultCode.PLATFORM_UNAVAILABLE, api.put(key, "stalled", 0).leftOrNull()?.code)
@@ -93,9 +93,9 @@
             assertEquals(ResultCode.DOCUMENT_CONFLICT, api.put(key, "third", 0).leftOrNull()?.code)
         }
 
-    /** Guards against a watch that sleeps through a change or that is cut by the time-out of ordinary calls. */
+    /** Guards against a watch that misses a change or is cancelled by the timeout of ordinary calls. */
     @Test
-    fun `a watch wakes up by a change and not by its time-out`() =
+    fun `a watch outlasts the timeout of ordinary calls and returns on a change`() =
         withStore { api, _ ->
             coroutineScope {
                 val watch = async { api.watch(ObjectKind.LEASE, 0, 10_000) }
@@ -117,9 +117,9 @@
             }
         }
 
-    /** Guards against a refusal of the weight store that loses its hint and makes the callers poll. */
+    /** Guards against losing the retry delay of a rejected load, which would make callers poll. */
     @Test
-    fun `the weight store says when to come back`() =
+    fun `a rejected load carries the retry delay of the weight store`() =
         runBlocking {
             val server = WeightStoreServer(WeightStoreSettings(loadsPerMinute = 1.0, burst = 1))
             server.start()
