--- a/peer/src/main/kotlin/io/sequoiawheel/peer/PeerClients.kt
+++ b/peer/src/main/kotlin/io/sequoiawheel/peer/PeerClients.kt
@@ -6,11 +6,11 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.TimeUnit
 
-/** Connections to other entry instances, one for each address. Thread-safe. */
+/** Maintains one gRPC channel per address of another entry instance. Thread-safe. */
 class PeerClients : AutoCloseable {
     private val channels = ConcurrentHashMap<String, ManagedChannel>()
 
-    /** Returns the stub for [address], `host:port`; its calls fail with `StatusException` after [timeoutMillis]. */
+    /** Returns a stub for [address], `host:port`, whose calls fail with `StatusException` after [timeoutMillis]. */
     fun stub(
         address: String,
         timeoutMillis: Long,
@@ -19,7 +19,7 @@
         return PeerGrpcKt.PeerCoroutineStub(channel).withDeadlineAfter(timeoutMillis, TimeUnit.MILLISECONDS)
     }
 
-    /** Closes the connections to addresses other than [addresses]. */
+    /** Shuts down the channels to all addresses that are not in [addresses]. */
     fun retain(addresses: Set<String>) {
         (channels.keys - addresses).forEach { address -> channels.remove(address)?.shutdown() }
     }
--- a/peer/src/main/kotlin/io/sequoiawheel/peer/PeerServer.kt
+++ b/peer/src/main/kotlin/io/sequoiawheel/peer/PeerServer.kt
@@ -7,9 +7,9 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * The gRPC server of one entry instance.
+ * The gRPC server on which an entry instance accepts calls of its peers.
  *
- * @param requestedPort the port to bind, or 0 for any free one
+ * @param requestedPort port to bind, or 0 for an ephemeral port
  */
 class PeerServer(
     private val host: String,
@@ -21,7 +21,7 @@
     /** The bound port; valid after [start]. */
     val port: Int get() = server?.port ?: requestedPort
 
-    /** Binds the address; throws `IOException` if it cannot. */
+    /** Binds the address and starts serving; throws `IOException` if the address cannot be bound. */
     fun start() {
         server =
             NettyServerBuilder
@@ -32,13 +32,14 @@
                 .start()
     }
 
-    /** Ends all connections. */
+    /** Aborts all calls and waits up to [CLOSE_SECONDS] for the server to terminate. */
     override fun close() {
         server?.shutdownNow()?.awaitTermination(CLOSE_SECONDS, TimeUnit.SECONDS)
     }
 
     internal companion object {
-        // A new instance receives every accepted document at once: 100 services of the object API's 1 MB at most.
+        // A new instance receives all accepted documents in one message: up to 100 services of at most 1 MB each, which
+        // is the limit of the object API.
         const val MAXIMUM_MESSAGE_BYTES = 104_857_600
         const val CLOSE_SECONDS = 2L
     }
