--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/KindWatcher.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/KindWatcher.kt
@@ -170,7 +170,7 @@
         recordSuccess()
         // Another call may have observed a newer era while this response was in flight.
         if (sources.era != era) return null
-        val confirmedAt = changes.proofOffsetMillis?.let { asOf.plus(it) }
+        val confirmedAt = changes.confirmationOffsetMillis?.let { asOf.plus(it) }
         apply(changes, confirmedAt)
         val isStale =
             confirmedAt == null || freshness.now().monotonicMillis - confirmedAt.monotonicMillis > STALE_HUB_MILLIS
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/StoreClient.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/StoreClient.kt
@@ -218,7 +218,7 @@
         }
         return when (response.status) {
             in SUCCESS -> Response(response.status, response.text, eras?.current).right()
-            StoreProtocol.HISTORY_GONE -> StoreFailure.HistoryGone("history truncated").left()
+            StoreProtocol.HISTORY_EXPIRED -> StoreFailure.HistoryGone("history truncated").left()
             CONFLICT -> StoreFailure.Conflict(response.text.take(MAXIMUM_DETAIL_CHARACTERS)).left()
             else -> StoreFailure.Unavailable("status ${response.status}").left()
         }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
@@ -24,10 +24,10 @@
         val notice = ReplicaNotice.decode(head.status().code()) { head.headers().getAll(it) }
         notice.coldForMillis?.let(replica::coldFor)
         if (notice.isLeaving) markLeaving(replica, head)
-        notice.unreadable?.let { value ->
+        notice.invalidRetryAfter?.let { value ->
             log.stateChange("unreadable retry delay of a replica", mapOf("replica" to replica.toString(), "value" to value))
         }
-        notice.quietMillis?.let { backOffFrom(replica, head, it) }
+        notice.pauseMillis?.let { backOffFrom(replica, head, it) }
     }
 
     private fun markLeaving(
