--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/EntryDaemon.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/EntryDaemon.kt
@@ -20,9 +20,9 @@
 import io.sequoiawheel.core.stream.ResumeHandle
 import io.sequoiawheel.core.stream.ResumeHandleCodec
 import io.sequoiawheel.daemon.control.ControlPlane
-import io.sequoiawheel.daemon.control.OrderDuty
+import io.sequoiawheel.daemon.control.EngineOrderController
 import io.sequoiawheel.daemon.control.RegistryClaims
-import io.sequoiawheel.daemon.control.ServiceRetries
+import io.sequoiawheel.daemon.control.ServiceRetryBudgets
 import io.sequoiawheel.daemon.control.supervise
 import io.sequoiawheel.daemon.gateway.BackendClient
 import io.sequoiawheel.daemon.gateway.HttpEngineGateway
@@ -82,13 +82,13 @@
     var port: Int = settings.listen.port
         private set
     private val weights = HttpWeightStore(settings.platform.weightStore, transport)
-    private val orders = OrderDuty(HttpEngineOrders(backends), weights, clock, ::readLoad)
+    private val orders = EngineOrderController(HttpEngineOrders(backends), weights, clock, ::readLoad)
     private val control =
         ControlPlane(self(settings.peer.port), objects, instances, scope, clock, random, orders, ::readLoad)
     private val membership = control.membership
     private val documents = control.configuration
     private val placement = control.placement
-    private val retries = ServiceRetries(clock, random)
+    private val retries = ServiceRetryBudgets(clock, random)
     private val generations = GenerationRunner(engines, placement, retries, clock, scope, ::uniqueId)
     private val claims =
         ClaimRegistry(
@@ -121,7 +121,7 @@
             return Failure(ResultCode.BIND_FAILED, "cannot listen on $addresses: ${error.message}").left()
         }
         metrics.gauge("sequoiawheel.requests.in.progress") { gate.requests }
-        metrics.gauge("sequoiawheel.requests.waiting") { placement.waiting }
+        metrics.gauge("sequoiawheel.requests.waiting") { placement.waitingCount }
         metrics.gauge("sequoiawheel.claims.pending") { claims.pendingCount }
         control.start()
         scope.supervise("registration") { keepRegistered() }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ComparisonController.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ComparisonController.kt
@@ -16,8 +16,10 @@
 import org.apache.commons.rng.UniformRandomProvider
 
 /**
- * Repairs losses of the relay: every instance compares digests with its tree parent, watchers also with another zone,
- * which reaches zones that are cut off from the platform only. Reports of the subtree travel up with the comparison.
+ * Anti-entropy between entry instances, which repairs updates that the relay lost. Every instance periodically
+ * compares digests with its tree parent. Watchers also compare with an instance of another zone, which updates a zone
+ * that is cut off from the platform but not from other zones. The comparison with the parent carries the report of the
+ * subtree.
  */
 internal class ComparisonController(
     private val self: InstanceId,
@@ -32,7 +34,7 @@
     private val clock: Clock,
     private val random: UniformRandomProvider,
 ) {
-    /** Compares until cancelled. */
+    /** Compares periodically until cancelled. */
     suspend fun run() {
         var round = 0L
         while (true) {
@@ -44,14 +46,17 @@
         }
     }
 
-    /** Learns what a peer of the zone has, at the start of this instance; returns whether one answered. */
-    suspend fun learnFromPeers(): Boolean {
+    /**
+     * Fetches configuration and membership from a peer at startup, from another zone if this zone has none; returns
+     * whether one answered.
+     */
+    suspend fun updateFromPeers(): Boolean {
         val peers = tree.peers().ifEmpty { tree.foreignPeers() }
-        return peers.take(STARTUP_PEERS).any { compareWith(it) }
+        return peers.take(MAXIMUM_STARTUP_PEERS).any { compareWith(it) }
     }
 
-    /** Answers the comparison of another instance. */
-    fun answer(request: CompareRequest): CompareResponse {
+    /** Handles the comparison request of another instance. */
+    fun handle(request: CompareRequest): CompareResponse {
         val now = clock.nowMillis()
         val sender = InstanceId(request.sender)
         table.heardFrom(sender, now)
@@ -71,16 +76,17 @@
         return response.build()
     }
 
-    // A parent that is paused must not keep everything below it on an old configuration.
+    // If the parent does not answer, other peers are tried, so that a paused parent does not keep its whole subtree on
+    // an old configuration.
     private suspend fun compareInZone() {
         val parent = tree.parent()
-        if (parent != null && compareWith(parent, reports = true)) return
+        if (parent != null && compareWith(parent, includeReport = true)) return
         tree.repairPeers().filter { it.id != parent?.id }.firstOrNull { compareWith(it) }
     }
 
     private suspend fun compareWith(
         peer: Instance,
-        reports: Boolean = false,
+        includeReport: Boolean = false,
     ): Boolean {
         val request =
             CompareRequest
@@ -88,35 +94,35 @@
                 .setSender(self.value)
                 .setConfigurationDigest(applied.digest())
                 .setMembershipDigest(table.digest())
-        if (reports) {
+        if (includeReport) {
             val report = progress.report(clock.nowMillis())
             request.setSubtreeInstances(report.instances).addAllLowest(PeerMessages.toMessages(report.lowest))
         }
         val response = calls.call(peer) { compare(request.build()) } ?: return false
         table.heardFrom(peer.id, clock.nowMillis())
-        learn(peer, response)
+        applyResponse(peer, response)
         return true
     }
 
-    private suspend fun learn(
+    private suspend fun applyResponse(
         peer: Instance,
         response: CompareResponse,
     ) {
         if (!response.hasMembership()) table.confirm(clock.nowMillis())
         if (response.same) return
-        val theirs = PeerMessages.fromMessages(response.acceptedList)
-        configuration.take(theirs)
-        if (response.hasMembership()) PeerMessages.fromMessage(response.membership)?.let { membership.take(it) }
-        if (response.acceptedCount > 0) sendNewer(peer, theirs.associate { it.service to it.generation })
+        val peerDocuments = PeerMessages.fromMessages(response.acceptedList)
+        configuration.applyDocuments(peerDocuments)
+        if (response.hasMembership()) PeerMessages.fromMessage(response.membership)?.let { membership.applyUpdate(it) }
+        if (response.acceptedCount > 0) sendNewer(peer, peerDocuments.associate { it.service to it.generation })
     }
 
     private suspend fun sendNewer(
         peer: Instance,
-        theirs: Map<ServiceName, Long>,
+        peerGenerations: Map<ServiceName, Long>,
     ) {
         val newer =
             applied.inForce.value.values
-                .filter { it.generation > (theirs[it.service] ?: 0) }
+                .filter { it.generation > (peerGenerations[it.service] ?: 0) }
         if (newer.isEmpty()) return
         val request =
             RelayRequest.newBuilder().setSender(self.value).addAllAccepted(newer.map(PeerMessages::toMessage))
@@ -134,11 +140,12 @@
     private companion object {
         const val INTERVAL_MILLIS = 1_900L
 
-        // Spreads the comparisons of instances that started together; the mean interval stays at 2 s.
+        // Spreads the comparisons of instances that started together; the mean interval is 2 s.
         const val JITTER_MILLIS = 200L
 
-        // Every four seconds: the fewest whole rounds within the five seconds of the design.
+        // Watchers compare with another zone in every second round, which is every 4 s: the longest interval of whole
+        // rounds within the design limit of 5 s.
         const val FOREIGN_ROUNDS = 2L
-        const val STARTUP_PEERS = 3
+        const val MAXIMUM_STARTUP_PEERS = 3
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ConfigurationController.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ConfigurationController.kt
@@ -13,8 +13,8 @@
 import kotlinx.coroutines.delay
 
 /**
- * Brings accepted documents into force. The watchers of a zone follow the object API; everything new is relayed down
- * the zone's tree, whoever learned it first.
+ * Applies accepted documents. The watchers of a zone watch the object API; every instance relays new documents down the
+ * zone's tree, whichever source they came from.
  */
 internal class ConfigurationController(
     private val objects: ObjectApi,
@@ -22,56 +22,56 @@
     private val tree: ZoneTree,
     private val backoff: FullJitterBackoff,
 ) : Documents {
-    /** Relays documents to other instances; set before [run]. */
+    /** Relays documents to other instances; must be set before [run]. */
     var relay: suspend (List<AcceptedDocument>) -> Unit = {}
 
     @Volatile
-    private var learned = false
+    private var isLoaded = false
 
-    override val isKnown: Boolean get() = learned || !applied.isEmpty
+    override val isKnown: Boolean get() = isLoaded || !applied.isEmpty
 
     override fun find(service: ServiceName): ServiceDocument? = applied.of(service)
 
-    /** Follows the object API while this instance is a watcher, until cancelled. */
+    /** Watches the object API while this instance is a watcher, until cancelled. */
     suspend fun run() {
         while (true) {
-            if (tree.isWatcher && !follow()) delay(maxOf(backoff.nextDelayMillis(), MINIMUM_PAUSE_MILLIS))
+            if (tree.isWatcher && !watchChanges()) delay(maxOf(backoff.nextDelayMillis(), MINIMUM_PAUSE_MILLIS))
             if (!tree.isWatcher) delay(ROLE_CHECK_MILLIS)
         }
     }
 
-    /** Reads every accepted document once; returns whether the object API answered. */
-    suspend fun readAll(): Boolean = readListing() != null
+    /** Reads and applies all accepted documents once; returns whether the object API answered. */
+    suspend fun loadAll(): Boolean = loadListing() != null
 
-    /** Puts [documents] in force as far as they are newer, and relays those that are. */
-    suspend fun take(documents: List<AcceptedDocument>) {
-        val fresh = documents.filter(applied::apply)
-        if (documents.isNotEmpty()) learned = true
-        if (fresh.isEmpty()) return
-        fresh.forEach { logger.info { "generation ${it.generation} of ${it.service} is in force" } }
-        relay(fresh)
+    /** Applies those of [documents] that are newer than the ones in force, and relays them. */
+    suspend fun applyDocuments(documents: List<AcceptedDocument>) {
+        val newer = documents.filter(applied::apply)
+        if (documents.isNotEmpty()) isLoaded = true
+        if (newer.isEmpty()) return
+        newer.forEach { logger.info { "applied generation ${it.generation} of service ${it.service}" } }
+        relay(newer)
     }
 
-    /** Notes that a peer or the platform said that there is no document. */
-    fun noteEmpty() {
-        learned = true
+    /** Records that the configuration is known, even if it contains no documents. */
+    fun markLoaded() {
+        isLoaded = true
     }
 
-    private suspend fun follow(): Boolean {
-        var revision = readListing() ?: return false
+    private suspend fun watchChanges(): Boolean {
+        var revision = loadListing() ?: return false
         backoff.reset()
         while (tree.isWatcher) {
             val changes = objects.watch(ObjectKind.ACCEPTED, revision, WATCH_MILLIS).getOrNull() ?: return false
-            take(decode(changes.objects))
+            applyDocuments(decode(changes.objects))
             revision = changes.revision
         }
         return true
     }
 
-    private suspend fun readListing(): Long? {
+    private suspend fun loadListing(): Long? {
         val listing = objects.list(ObjectKind.ACCEPTED).getOrNull() ?: return null
-        take(decode(listing.objects))
-        noteEmpty()
+        applyDocuments(decode(listing.objects))
+        markLoaded()
         return listing.revision
     }
 
@@ -79,7 +79,7 @@
         objects.mapNotNull { stored ->
             AcceptedDocument
                 .decode(stored.value)
-                .onLeft { logger.error { "accepted document ${stored.key.name}: ${it.detail}" } }
+                .onLeft { logger.error { "cannot decode accepted document ${stored.key.name}: ${it.detail}" } }
                 .getOrNull()
         }
 
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ControlPlane.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ControlPlane.kt
@@ -10,7 +10,7 @@
 import io.sequoiawheel.core.model.ServiceDocument
 import io.sequoiawheel.core.platform.InstanceList
 import io.sequoiawheel.core.platform.ObjectApi
-import io.sequoiawheel.daemon.placement.GrantPlane
+import io.sequoiawheel.daemon.placement.GrantCoordinator
 import io.sequoiawheel.objectapi.FullJitterBackoff
 import io.sequoiawheel.peer.PeerClients
 import io.sequoiawheel.peer.PeerServer
@@ -31,14 +31,14 @@
     private val scope: CoroutineScope,
     private val clock: Clock,
     random: UniformRandomProvider,
-    private val orders: OrderDuty,
+    private val orders: EngineOrderController,
     readLoad: suspend (Instance, ServiceDocument) -> LoadReport?,
 ) : AutoCloseable {
     private val clients = PeerClients()
     private val calls = PeerCalls(clients)
     private val applied = AppliedConfiguration()
 
-    /** Who else exists. */
+    /** The known entry instances and replicas. */
     val membership = MembershipTable(self)
     private val tree = ZoneTree(membership, self.id, self.zone)
 
@@ -60,57 +60,58 @@
             clock = clock,
             random = random,
         )
-    private val leaseholder =
-        LeaseholderPlane(self.id, objects, tree, clock) { accepted ->
-            scope.launch { configuration.take(listOf(accepted)) }
+    private val leaseholderTasks =
+        LeaseholderTasks(self.id, objects, tree, clock) { accepted ->
+            scope.launch { configuration.applyDocuments(listOf(accepted)) }
         }
-    private val grants = GrantPlane(self, membership, configuration, calls, clock, scope, random, readLoad)
+    private val grants = GrantCoordinator(self, membership, configuration, calls, clock, scope, random, readLoad)
 
-    /** Where requests get room. */
+    /** Places requests on replicas. */
     val placement = grants.placement
-    private val endpoint = PeerEndpoint(membership, configuration, members, comparison, grants, clock)
-    private val server = PeerServer(hostOf(self), portOf(self), endpoint)
+    private val peerEndpoint =
+        PeerEndpoint(membership, configuration, members, comparison, grants, clock)
+    private val peerServer = PeerServer(hostOf(self), portOf(self), peerEndpoint)
 
     /** The port of the gRPC interface; valid after [bind]. */
-    val port: Int get() = server.port
+    val port: Int get() = peerServer.port
 
     /** Binds the gRPC interface; throws `IOException` if it cannot. */
-    fun bind() = server.start()
+    fun bind() = peerServer.start()
 
     /** Starts the controllers. */
     fun start() {
         val relay = UpdateRelay(self.id, calls, tree, scope)
         configuration.relay = { relay.send(it) }
         members.relay = { relay.send(it) }
-        scope.launch { learn() }
+        scope.launch { loadConfiguration() }
         scope.supervise("membership") { members.run() }
         scope.supervise("configuration") { configuration.run() }
         scope.supervise("comparison") { comparison.run() }
-        leaseholder.start(scope)
+        leaseholderTasks.start(scope)
         grants.start()
         scope.supervise("orders") {
-            orders.run(leaseholder.ordersLease, leaseholder.termMillis, ::documents, membership)
+            orders.run(leaseholderTasks.ordersLease, leaseholderTasks.termMillis, ::documents, membership)
         }
-        scope.supervise("peer retirement") { retirePeers() }
+        scope.supervise("peer retirement") { closeUnusedClients() }
     }
 
-    /** Gives up what other instances should take over soon. */
+    /** Marks this instance as leaving and resigns its leases, so that other instances take over early. */
     suspend fun leave() {
         membership.markLeaving(self.id)
-        leaseholder.resign()
+        leaseholderTasks.resign()
     }
 
     override fun close() {
-        server.close()
+        peerServer.close()
         clients.close()
     }
 
-    /** Asks peers first, then the platform, until one of them has told what is in force. */
-    private suspend fun learn() {
+    /** Loads the configuration from peers, or else from the platform, until one of them has answered. */
+    private suspend fun loadConfiguration() {
         while (!configuration.isKnown) {
-            val isLearned = members.latest != null && comparison.learnFromPeers() && configuration.isKnown
-            if (!isLearned) configuration.readAll()
-            delay(LEARN_PAUSE_MILLIS)
+            val isLoaded = members.latest != null && comparison.updateFromPeers() && configuration.isKnown
+            if (!isLoaded) configuration.loadAll()
+            delay(LOAD_RETRY_MILLIS)
         }
     }
 
@@ -119,16 +120,16 @@
             .filterNot { it.isTombstone }
             .map { it.document }
 
-    private suspend fun retirePeers() {
+    private suspend fun closeUnusedClients() {
         while (true) {
-            delay(RETIRE_INTERVAL_MILLIS)
+            delay(CLIENT_CLEANUP_INTERVAL_MILLIS)
             if (members.latest != null) clients.retain(membership.listed().mapNotNull { it.peerAddress }.toSet())
         }
     }
 
     private companion object {
-        const val LEARN_PAUSE_MILLIS = 200L
-        const val RETIRE_INTERVAL_MILLIS = 30_000L
+        const val LOAD_RETRY_MILLIS = 200L
+        const val CLIENT_CLEANUP_INTERVAL_MILLIS = 30_000L
 
         fun hostOf(instance: Instance) = instance.peerAddress.orEmpty().substringBeforeLast(':')
 
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/OrderDuty.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/EngineOrderController.kt
@@ -13,18 +13,18 @@
 import io.sequoiawheel.core.platform.WeightStore
 
 /**
- * The orders to engines, as far as this instance holds their lease.
+ * Reconciles the models loaded in engines by sending orders, while this instance holds the orders lease.
  *
- * @property weightStore asked before each load
+ * @property weightStore the store that must permit each load of model weights
  * @property readLoad returns the load report of a replica, or null if it cannot be read
  */
-internal class OrderDuty(
+internal class EngineOrderController(
     private val engines: EngineOrders,
     private val weightStore: WeightStore,
     private val clock: Clock,
     private val readLoad: suspend (Instance, ServiceDocument) -> LoadReport?,
 ) {
-    /** Reconciles until cancelled. */
+    /** Runs the reconciliation until cancelled. */
     suspend fun run(
         lease: Lease,
         termMillis: Long,
@@ -39,7 +39,7 @@
             documents = documents,
             replicas = { membership.replicas(it.service) },
             models = { replica -> modelsOf(replica, documents()) },
-            // This instance sees only its own requests, so every model counts as in use: the last warm replica stays.
+            // This instance sees only its own requests, so all models count as in use and keep their last warm replica.
             inUse = { _, _ -> true },
             mayAct = lease::mayAct,
         ).run()
@@ -54,7 +54,7 @@
     }
 
     private companion object {
-        // The store's own refusals bound the rate further; this keeps one deployment from using it up at once.
+        // The weight store limits the rate further; this limit keeps one deployment from using up that rate at once.
         const val LOADS_PER_MINUTE = 6.0
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/LeaseDuty.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/LeaseContender.kt
@@ -5,15 +5,15 @@
 import kotlinx.coroutines.delay
 
 /**
- * Contends for a lease while this instance is a watcher of its zone. Ten watchers in five zones read a lease twice a
- * second; 340 daemons would read it 68 times.
+ * Contends for a lease while this instance is a watcher of its zone. The ten watchers of five zones together read a
+ * lease twice a second; 340 entry instances would read it 68 times a second.
  */
-internal class LeaseDuty(
+internal class LeaseContender(
     private val lease: Lease,
     private val tree: ZoneTree,
     private val policy: LeasePolicy,
 ) {
-    /** Contends and renews until cancelled. */
+    /** Acquires and renews the lease until cancelled. */
     suspend fun run() {
         while (true) {
             if (tree.isWatcher || lease.mayAct()) lease.step()
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/LeaseholderPlane.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/LeaseholderTasks.kt
@@ -12,12 +12,12 @@
 import kotlinx.coroutines.delay
 
 /**
- * The duties that one instance of the deployment has at a time: accepting documents and deleting expired claims under
- * the lease `acceptor`, and orders to engines under the lease `orders`.
+ * The tasks that run on one instance of the deployment at a time: accepting documents and deleting expired claims under
+ * the lease `acceptor`, and sending orders to engines under the lease `orders`.
  *
- * @param onAccepted told of each acceptance at once, so that it spreads without waiting for a watch
+ * @param onAccepted called with each accepted document at once, so that it is relayed without waiting for a watch
  */
-internal class LeaseholderPlane(
+internal class LeaseholderTasks(
     self: InstanceId,
     private val objects: ObjectApi,
     private val tree: ZoneTree,
@@ -36,14 +36,15 @@
     /** The term of the leases in milliseconds. */
     val termMillis: Long get() = policy.termMillis
 
+    /** Starts contending for the leases, and the tasks under the `acceptor` lease. */
     fun start(scope: CoroutineScope) {
-        scope.supervise("acceptor lease") { LeaseDuty(acceptorLease, tree, policy).run() }
-        scope.supervise("orders lease") { LeaseDuty(ordersLease, tree, policy).run() }
+        scope.supervise("acceptor lease") { LeaseContender(acceptorLease, tree, policy).run() }
+        scope.supervise("orders lease") { LeaseContender(ordersLease, tree, policy).run() }
         scope.supervise("acceptor") { acceptor.run() }
         scope.supervise("claim expiry") { expireClaims() }
     }
 
-    /** Gives the leases up, so that another instance can take over before their terms end. */
+    /** Resigns the leases, so that another instance can take over before their terms end. */
     suspend fun resign() {
         acceptorLease.resign()
         ordersLease.resign()
@@ -57,7 +58,7 @@
     }
 
     private companion object {
-        // Claims are kept for days; a listing of them is the largest read of the system.
+        // Claims are retained for days, and listing them is the largest read of the system.
         const val EXPIRY_INTERVAL_MILLIS = 600_000L
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/MembershipController.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/MembershipController.kt
@@ -10,53 +10,53 @@
 import java.util.concurrent.atomic.AtomicReference
 
 /**
- * Keeps the membership view. The watchers of a zone poll the instance list and relay it; every other instance polls
- * only while nothing has confirmed its view, as at its start.
+ * Keeps the membership view up to date. The watchers of a zone poll the instance list and relay it; other instances
+ * poll only while nothing confirms their view, as at startup.
  */
 internal class MembershipController(
-    private val list: InstanceList,
+    private val instanceList: InstanceList,
     private val table: MembershipTable,
     private val tree: ZoneTree,
     private val self: InstanceId,
     private val clock: Clock,
     private val backoff: FullJitterBackoff,
 ) {
-    private val newest = AtomicReference<MembershipUpdate>()
+    private val latestUpdate = AtomicReference<MembershipUpdate>()
     private var sequence = 0L
 
-    /** Relays an update to other instances; set before [run]. */
+    /** Relays an update to other instances; must be set before [run]. */
     var relay: suspend (MembershipUpdate) -> Unit = {}
 
-    /** The last update that was applied, or null. */
-    val latest: MembershipUpdate? get() = newest.get()
+    /** The last update that was received, or null. */
+    val latest: MembershipUpdate? get() = latestUpdate.get()
 
-    /** Polls until cancelled. */
+    /** Polls while needed, until cancelled. */
     suspend fun run() {
         while (true) {
-            val pause = if (isDue()) poll() else INTERVAL_MILLIS
+            val pauseMillis = if (shouldPoll()) poll() else INTERVAL_MILLIS
             table.prune(clock.nowMillis())
-            delay(pause)
+            delay(pauseMillis)
         }
     }
 
-    /** Reads the list once; returns whether it answered. */
+    /** Reads the instance list once; returns whether the read succeeded. */
     suspend fun pollOnce(): Boolean {
-        val instances = list.read().getOrNull() ?: return false
+        val instances = instanceList.read().getOrNull() ?: return false
         if (latest?.takeIf { it.watcher == self }?.instances != instances) sequence++
-        take(MembershipUpdate(self, sequence, instances))
+        applyUpdate(MembershipUpdate(self, sequence, instances))
         return true
     }
 
-    /** Applies an update from anywhere and relays it if it is new. */
-    suspend fun take(update: MembershipUpdate) {
+    /** Applies an update from the platform or a peer, and relays it if it is new. */
+    suspend fun applyUpdate(update: MembershipUpdate) {
         val isNew = table.apply(update, clock.nowMillis())
-        newest.set(update)
+        latestUpdate.set(update)
         if (isNew) relay(update)
     }
 
-    private fun isDue(): Boolean {
-        val age = table.viewAgeMillis(clock.nowMillis())
-        return tree.isWatcher || age == null || age > UNCONFIRMED_MILLIS
+    private fun shouldPoll(): Boolean {
+        val ageMillis = table.viewAgeMillis(clock.nowMillis())
+        return tree.isWatcher || ageMillis == null || ageMillis > MAXIMUM_UNCONFIRMED_MILLIS
     }
 
     private suspend fun poll(): Long {
@@ -69,7 +69,7 @@
         const val INTERVAL_MILLIS = 1_000L
         const val MINIMUM_PAUSE_MILLIS = 50L
 
-        // Five comparisons with the tree parent have failed by then.
-        const val UNCONFIRMED_MILLIS = 10_000L
+        // By then, five comparisons with the tree parent have failed.
+        const val MAXIMUM_UNCONFIRMED_MILLIS = 10_000L
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/PeerEndpoint.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/PeerEndpoint.kt
@@ -3,7 +3,7 @@
 import io.sequoiawheel.core.membership.MembershipTable
 import io.sequoiawheel.core.model.Clock
 import io.sequoiawheel.core.model.InstanceId
-import io.sequoiawheel.daemon.placement.GrantPlane
+import io.sequoiawheel.daemon.placement.GrantCoordinator
 import io.sequoiawheel.peer.generated.CompareRequest
 import io.sequoiawheel.peer.generated.CompareResponse
 import io.sequoiawheel.peer.generated.HeartbeatRequest
@@ -16,19 +16,19 @@
 import io.sequoiawheel.peer.generated.ReserveRequest
 import io.sequoiawheel.peer.generated.ReserveResponse
 
-/** Answers the calls of other entry instances. */
+/** The gRPC service that other entry instances call. */
 internal class PeerEndpoint(
     private val table: MembershipTable,
     private val configuration: ConfigurationController,
     private val membership: MembershipController,
     private val comparison: ComparisonController,
-    private val grants: GrantPlane,
+    private val grants: GrantCoordinator,
     private val clock: Clock,
 ) : PeerGrpcKt.PeerCoroutineImplBase() {
     override suspend fun relay(request: RelayRequest): RelayResponse {
         table.heardFrom(InstanceId(request.sender), clock.nowMillis())
-        if (request.hasMembership()) PeerMessages.fromMessage(request.membership)?.let { membership.take(it) }
-        configuration.take(PeerMessages.fromMessages(request.acceptedList))
+        if (request.hasMembership()) PeerMessages.fromMessage(request.membership)?.let { membership.applyUpdate(it) }
+        configuration.applyDocuments(PeerMessages.fromMessages(request.acceptedList))
         return RelayResponse.getDefaultInstance()
     }
 
@@ -47,5 +47,5 @@
         return grants.heartbeat(request)
     }
 
-    override suspend fun compare(request: CompareRequest): CompareResponse = comparison.answer(request)
+    override suspend fun compare(request: CompareRequest): CompareResponse = comparison.handle(request)
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/PeerMessages.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/PeerMessages.kt
@@ -13,7 +13,7 @@
 import kotlinx.serialization.json.Json
 import io.sequoiawheel.peer.generated.MembershipUpdate as MembershipMessage
 
-/** Conversions between the types of `core` and the messages between entry instances. */
+/** Converts between the types of `core` and the messages exchanged by entry instances. */
 internal object PeerMessages {
     private val json = Json { ignoreUnknownKeys = true }
 
@@ -25,7 +25,7 @@
             .setRecord(accepted.encode())
             .build()
 
-    /** Returns the documents of [entries]; unreadable ones are left out and repaired by a later comparison. */
+    /** Returns the documents of [entries]. Undecodable entries are skipped; a later comparison repairs them. */
     fun fromMessages(entries: List<AcceptedEntry>): List<AcceptedDocument> =
         entries.mapNotNull { AcceptedDocument.decode(it.record).getOrNull() }
 
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/RegistryClaims.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/RegistryClaims.kt
@@ -13,7 +13,10 @@
 import io.sequoiawheel.core.serving.Claims
 import kotlinx.serialization.SerializationException
 
-/** Claims in the object API. An object that cannot be decoded counts as an unavailable store: nothing is dispatched. */
+/**
+ * Claims stored in the object API. A claim that cannot be decoded is reported as an unavailable store, so that nothing
+ * is dispatched.
+ */
 internal class RegistryClaims(
     private val registry: ClaimRegistry,
 ) : Claims {
@@ -46,7 +49,7 @@
 
     override suspend fun outcome(identity: Claims.Identity): Either<Failure, Claims.RecordedAnswer> =
         try {
-            registry.outcome(identity.toKey()).fold({ it.left() }, { recordedOf(it).right() })
+            registry.outcome(identity.toKey()).fold({ it.left() }, { recordedAnswerOf(it).right() })
         } catch (error: SerializationException) {
             Failure(ResultCode.CLAIM_STORE_UNAVAILABLE, "the claim of this key is unreadable").left()
         }
@@ -54,12 +57,12 @@
     private fun decisionOf(decision: ClaimDecision): Either<Failure, Claims.Decision> =
         when (decision) {
             is ClaimDecision.Granted -> Granted(decision.ticket).right()
-            is ClaimDecision.Recorded -> Claims.Decision.Recorded(recordedOf(decision.answer)).right()
+            is ClaimDecision.Recorded -> Claims.Decision.Recorded(recordedAnswerOf(decision.answer)).right()
             is ClaimDecision.Rejected -> decision.failure.left()
         }
 
-    private fun recordedOf(answer: ClaimAnswer) =
-        Claims.RecordedAnswer(answer.status, if (answer.bodyOmitted) OMITTED else answer.body ?: "null")
+    private fun recordedAnswerOf(answer: ClaimAnswer) =
+        Claims.RecordedAnswer(answer.status, if (answer.bodyOmitted) OMITTED_BODY else answer.body ?: "null")
 
     private fun ticketOf(granted: Claims.Decision.Granted): ClaimTicket = (granted as Granted).ticket
 
@@ -70,6 +73,6 @@
     ) : Claims.Decision.Granted
 
     private companion object {
-        const val OMITTED = """{"omitted":"the answer was too large to record"}"""
+        const val OMITTED_BODY = """{"omitted":"the answer was too large to record"}"""
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ServiceRetries.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ServiceRetryBudgets.kt
@@ -9,8 +9,8 @@
 import org.apache.commons.rng.UniformRandomProvider
 import java.util.concurrent.ConcurrentHashMap
 
-/** One retry budget per service, replaced when the service's policy changes. Thread-safe. */
-internal class ServiceRetries(
+/** The retry budgets, one per service. A budget is replaced when the policy of its service changes. Thread-safe. */
+internal class ServiceRetryBudgets(
     private val clock: Clock,
     private val random: UniformRandomProvider,
 ) : Retries {
@@ -26,8 +26,8 @@
 
     private fun budgetOf(document: ServiceDocument): RetryBudget =
         budgets
-            .compute(document.service) { _, old ->
-                old?.takeIf { it.policy == document.retryBudget }
+            .compute(document.service) { _, current ->
+                current?.takeIf { it.policy == document.retryBudget }
                     ?: Budget(document.retryBudget, RetryBudget(document.retryBudget))
             }!!
             .budget
@@ -38,7 +38,7 @@
     )
 
     private companion object {
-        // The runners count the attempts of a request themselves; the budget only bounds their share.
+        // The runners limit the attempts of each request; the budget only limits the share of retries.
         const val SECOND_ATTEMPT = 2
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/Supervision.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/Supervision.kt
@@ -9,10 +9,10 @@
 
 private val logger = KotlinLogging.logger {}
 
-// An unreadable object fails again at once; a pause keeps it from filling the log and the processor.
-private const val RESTART_MILLIS = 1_000L
+// An object that cannot be decoded fails again at once; the delay limits log volume and CPU use.
+private const val RESTART_DELAY_MILLIS = 1_000L
 
-/** Runs the endless [loop] of the controller [name] and starts it again after an unexpected error. */
+/** Runs the endless [loop] of the controller [name], and restarts it when it returns or throws. */
 internal fun CoroutineScope.supervise(
     name: String,
     loop: suspend () -> Unit,
@@ -24,8 +24,8 @@
             } catch (error: CancellationException) {
                 throw error
             } catch (error: Exception) {
-                logger.error(error) { "controller $name failed and starts again" }
+                logger.error(error) { "controller $name failed and is restarted" }
             }
-            delay(RESTART_MILLIS)
+            delay(RESTART_DELAY_MILLIS)
         }
     }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/UpdateRelay.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/UpdateRelay.kt
@@ -7,7 +7,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
 
-/** Sends updates down the zone's tree. Each receiver is called on its own, so that a dead one delays nobody. */
+/** Sends updates down the zone's tree. Receivers are called concurrently, so that a dead one delays no other. */
 internal class UpdateRelay(
     private val self: InstanceId,
     private val calls: PeerCalls,
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ZoneTree.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/control/ZoneTree.kt
@@ -7,7 +7,7 @@
 import io.sequoiawheel.core.model.InstanceId
 import io.sequoiawheel.core.model.ZoneName
 
-/** This instance's place in the relay tree of its zone, computed from its current membership view. */
+/** The relay tree of a zone as seen by this instance, computed from the current membership view. */
 internal class ZoneTree(
     private val membership: MembershipTable,
     private val self: InstanceId,
@@ -16,30 +16,33 @@
     /** Whether this instance polls the platform for its zone. */
     val isWatcher: Boolean get() = self in tree().watchers
 
-    /** Whether this instance is the root, which reports for the zone. */
+    /** Whether this instance is the root, which writes the status report of the zone. */
     val isRoot: Boolean get() = tree().root == self
 
-    /** Live entry instances of the zone, this one included. */
+    /** The number of live entry instances in the zone, including this one. */
     val size: Int get() = membership.liveEntries(zone).size
 
-    /** The instance above this one, or null for the root. */
+    /** Returns the parent of this instance, or null for the root. */
     fun parent(): Instance? = tree().parent(self)?.let(::find)
 
-    /** Where updates go: to the children, and from a watcher also to the root, which covers the rest of the zone. */
+    /**
+     * Returns the receivers of updates: the children and, if this instance is a watcher, the root, through which
+     * updates reach the rest of the zone.
+     */
     fun receivers(): List<Instance> {
         val tree = tree()
         val root = tree.root?.takeIf { self in tree.watchers && it != self }
         return (tree.children(self) + listOfNotNull(root)).mapNotNull(::find)
     }
 
-    /** Whom to compare digests with if the parent does not answer, in this order. */
+    /** Returns the peers to compare digests with if the parent does not answer, in order of preference. */
     fun repairPeers(): List<Instance> =
         RepairPeers.candidates(self, tree(), foreignPeers().map { it.id }.take(FOREIGN_REPAIR_PEERS)).mapNotNull(::find)
 
-    /** Other live entry instances of the zone. */
+    /** Returns the other live entry instances of the zone. */
     fun peers(): List<Instance> = membership.liveEntries(zone).filter { it.id != self }
 
-    /** Live entry instances of other zones. */
+    /** Returns the live entry instances of other zones. */
     fun foreignPeers(): List<Instance> =
         membership.listed().filter {
             it.role == Instance.Role.ENTRY && it.zone != zone && it.state == Instance.State.LIVE
@@ -50,7 +53,7 @@
     private fun find(id: InstanceId): Instance? = membership.listed().firstOrNull { it.id == id }
 
     private companion object {
-        /** Instances of other zones that are asked when nobody of the zone answers. */
+        /** The number of instances of other zones that are tried when no instance of this zone answers. */
         const val FOREIGN_REPAIR_PEERS = 2
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantRooms.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantCapacitySource.kt
@@ -15,77 +15,86 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.AtomicLong
 
-/** Room from the granting instances of the replicas, or from this instance's own credit. Thread-safe. */
-internal class GrantRooms(
+/**
+ * Reserves capacity with the granting instances of the replicas, or from this instance's credit if no responsible
+ * granting instance answers. Thread-safe.
+ */
+internal class GrantCapacitySource(
     private val self: Instance,
     private val membership: MembershipTable,
     private val ledgers: GrantLedgers,
-    private val peers: GrantPeers,
+    private val rpcClient: GrantRpcClient,
     private val clock: Clock,
-) : RoomSource {
+) : CapacitySource {
     private val clients = ConcurrentHashMap<InstanceId, GrantClient>()
     private val ejector = Ejector()
-    private val reservations = AtomicLong()
+    private val reservationCount = AtomicLong()
 
-    /** Returns the client for [replica]. */
+    /** Returns the grant client of [replica], created on first use. */
     fun client(replica: InstanceId): GrantClient = clients.computeIfAbsent(replica) { GrantClient(self.id) }
 
-    /** Forgets replicas that are not listed any more and hold no request of this instance. */
+    /**
+     * Removes the state of replicas that are not in [replicas]. The grant client of such a replica is kept while it
+     * holds a reservation.
+     */
     fun retain(replicas: Set<InstanceId>) {
         clients.entries.removeIf { (id, client) -> id !in replicas && client.outstandingCount() == 0 }
         ejector.retain(replicas)
     }
 
-    override fun candidates(need: RoomNeed): List<RoomSource.Candidate> {
-        val document = need.demand.document
+    override fun candidates(required: CapacityRequirements): List<CapacitySource.Candidate> {
+        val document = required.demand.document
         val now = clock.nowMillis()
         val listed = membership.replicas(document.service)
         val usable = listed.groupBy { it.zone }.values.flatMap { zone -> ejector.usable(zone.map { it.id }, now) }
         return listed.map { replica ->
             val state = client(replica.id).state
-            val isOpen =
+            val isAvailable =
                 replica.id in usable &&
                     replica.zone !in document.zonesOut &&
                     replica.state == Instance.State.LIVE &&
                     membership.mayReceiveWork(replica.id)
-            RoomSource.Candidate(replica, viewOf(replica, state, isOpen && serves(state, need.demand.model)))
+            CapacitySource.Candidate(
+                replica,
+                viewOf(replica, state, isAvailable && canServe(state, required.demand.model)),
+            )
         }
     }
 
-    // Prompt prefixes are not indexed yet; every replica counts as holding none.
+    // Prompt prefixes are not indexed yet, so no replica counts as having any cached.
     override fun cachedTokens(
         replica: InstanceId,
-        need: RoomNeed,
+        required: CapacityRequirements,
     ): Long = 0
 
     override suspend fun reserve(
         candidate: Instance,
-        need: RoomNeed,
-    ): RoomSource.Room? {
+        required: CapacityRequirements,
+    ): CapacitySource.ReservedCapacity? {
         val client = client(candidate.id)
-        val reservation = reservationOf(need)
+        val reservation = reservationOf(required)
         val ticket = client.issueTicket(reservation.request, clock.nowMillis())
-        val result = if (ticket == null) null else ask(candidate, client, reservation)
-        val isHeld =
+        val result = if (ticket == null) null else requestGrant(candidate, client, reservation)
+        val isReserved =
             when (result) {
                 ReserveResult.GRANTED -> ticket != null && client.acceptGrant(reservation, ticket, clock.nowMillis())
                 ReserveResult.NO_CAPACITY -> false.also { client.onRefused(reservation.request) }
-                else -> fromCredit(client, reservation)
+                else -> reserveFromCredit(client, reservation)
             }
-        return if (isHeld) HeldRoom(candidate, client, reservation.request) else null
+        return if (isReserved) HeldCapacity(candidate, client, reservation.request) else null
     }
 
-    private suspend fun ask(
+    private suspend fun requestGrant(
         candidate: Instance,
         client: GrantClient,
         reservation: Reservation,
     ): ReserveResult? {
-        val granter = client.grantingInstance(clock.nowMillis()) ?: return null
-        if (granter != self.id) return peers.reserve(granter, candidate.id, reservation)
+        val grantingInstance = client.grantingInstance(clock.nowMillis()) ?: return null
+        if (grantingInstance != self.id) return rpcClient.reserve(grantingInstance, candidate.id, reservation)
         return ledgers.ledger(candidate.id)?.reserve(self.id, reservation, clock.nowMillis())
     }
 
-    private fun fromCredit(
+    private fun reserveFromCredit(
         client: GrantClient,
         reservation: Reservation,
     ): Boolean {
@@ -93,16 +102,16 @@
         return client.admitFromCredit(reservation, startId, clock.nowMillis())
     }
 
-    // Callers choose request ids and may repeat them; room is counted per attempt.
-    private fun reservationOf(need: RoomNeed) =
+    // Callers choose request ids and may repeat them; capacity is reserved per attempt, so each attempt has its own id.
+    private fun reservationOf(required: CapacityRequirements) =
         Reservation(
-            request = RequestId("${self.id}/${reservations.incrementAndGet()}"),
-            workspace = need.demand.workspace,
-            promptTokens = need.demand.promptTokens.toLong(),
-            predictedTokens = need.predictedTokens.toLong(),
+            request = RequestId("${self.id}/${reservationCount.incrementAndGet()}"),
+            workspace = required.demand.workspace,
+            promptTokens = required.demand.promptTokens.toLong(),
+            predictedTokens = required.predictedTokens.toLong(),
         )
 
-    private fun serves(
+    private fun canServe(
         state: ReplicaState?,
         model: String?,
     ): Boolean {
@@ -123,17 +132,17 @@
         freeRequests = state?.freeRequests ?: 0,
     )
 
-    private inner class HeldRoom(
+    private inner class HeldCapacity(
         override val replica: Instance,
         private val client: GrantClient,
         private val request: RequestId,
-    ) : RoomSource.Room {
+    ) : CapacitySource.ReservedCapacity {
         override fun onFirstToken(elapsedMillis: Long) {
-            val granter = client.grantingInstance(clock.nowMillis()) ?: return
-            if (granter == self.id) {
+            val grantingInstance = client.grantingInstance(clock.nowMillis()) ?: return
+            if (grantingInstance == self.id) {
                 ledgers.ledger(replica.id)?.recordFirstToken(elapsedMillis, clock.nowMillis())
             } else {
-                peers.firstToken(granter, replica.id, elapsedMillis)
+                rpcClient.reportFirstToken(grantingInstance, replica.id, elapsedMillis)
             }
         }
 
@@ -143,11 +152,11 @@
         ) {
             if (verdict == PlacedRequest.Verdict.COMPLETED) ejector.recordSuccess(replica.id)
             if (verdict == PlacedRequest.Verdict.FAILED) ejector.recordFailure(replica.id, clock.nowMillis())
-            val granter = client.onFinished(request) ?: return
-            if (granter == self.id) {
+            val grantingInstance = client.onFinished(request) ?: return
+            if (grantingInstance == self.id) {
                 ledgers.ledger(replica.id)?.release(self.id, request)
             } else {
-                peers.release(granter, replica.id, request, tokens)
+                rpcClient.release(grantingInstance, replica.id, request, tokens)
             }
         }
     }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantPlane.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantCoordinator.kt
@@ -21,8 +21,11 @@
 import kotlinx.coroutines.CoroutineScope
 import org.apache.commons.rng.UniformRandomProvider
 
-/** Placement by grants: the ledgers of this instance, its clients of others' ledgers, and the queues before them. */
-internal class GrantPlane(
+/**
+ * The grant protocol of this instance: the ledgers of the replicas of its zone, the clients of the ledgers at other
+ * instances, and the queues in which requests wait for capacity.
+ */
+internal class GrantCoordinator(
     self: Instance,
     membership: MembershipTable,
     documents: Documents,
@@ -33,21 +36,22 @@
     readLoad: suspend (Instance, ServiceDocument) -> LoadReport?,
 ) {
     private val ledgers = GrantLedgers(self, membership, documents, clock, readLoad)
-    private val peers = GrantPeers(self, membership, calls)
-    private val rooms = GrantRooms(self, membership, ledgers, peers, clock)
+    private val rpcClient = GrantRpcClient(self, membership, calls)
+    private val capacitySource = GrantCapacitySource(self, membership, ledgers, rpcClient, clock)
 
-    /** The queues of this instance. */
-    val placement = QueuedPlacement(self.zone, rooms, LengthEstimator(), ReplicaChooser(random), clock, scope)
+    /** Places requests through the queues of this instance. */
+    val placement = QueuedPlacement(self.zone, capacitySource, LengthEstimator(), ReplicaChooser(random), clock, scope)
     private val heartbeats =
-        GrantHeartbeats(self, membership, ledgers, rooms, peers, clock, placement::signal)
+        GrantHeartbeats(self, membership, ledgers, capacitySource, rpcClient, clock, placement::signal)
 
+    /** Starts the background loops. */
     fun start() {
         scope.supervise("load") { ledgers.run() }
         scope.supervise("heartbeats") { heartbeats.run() }
-        scope.supervise("releases") { peers.run() }
+        scope.supervise("releases") { rpcClient.run() }
     }
 
-    /** Answers a peer's request for room. */
+    /** Handles a peer's request for capacity. */
     fun reserve(request: ReserveRequest): ReserveResponse {
         val ledger = ledgers.ledger(InstanceId(request.replica))
         val reservation = GrantMessages.fromMessage(request.reservation)
@@ -59,7 +63,7 @@
             .build()
     }
 
-    /** Takes a peer's releases and first-token times. */
+    /** Applies a peer's releases and times to first token. */
     fun release(request: ReleaseRequest) {
         val sender = InstanceId(request.instance)
         request.finishedList.forEach {
@@ -71,7 +75,7 @@
         placement.signal()
     }
 
-    /** Answers a peer's heartbeat; replicas without a ledger here are left out. */
+    /** Handles a peer's heartbeat. Replicas without a ledger at this instance are omitted from the response. */
     fun heartbeat(request: HeartbeatRequest): HeartbeatResponse {
         val sender = InstanceId(request.instance)
         val response = HeartbeatResponse.newBuilder()
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantLedgers.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantLedgers.kt
@@ -19,7 +19,8 @@
 import java.util.concurrent.ConcurrentHashMap
 
 /**
- * The granting side: one ledger for each replica of this zone, and the polling of those for which this instance grants.
+ * The ledgers of the granting side, one for each replica of this zone. The load of a replica is polled while this
+ * instance is its granting instance.
  *
  * @param readLoad returns the load report of a replica, or null if it cannot be read
  */
@@ -35,7 +36,7 @@
     /** Returns the ledger of [replica], or null if it is not a known replica of this zone. */
     fun ledger(replica: InstanceId): GrantLedger? = ledgers[replica]?.ledger
 
-    /** Updates the ledgers and polls loads until cancelled. */
+    /** Updates the ledgers and polls load reports until cancelled. */
     suspend fun run() {
         while (true) {
             update()
@@ -64,7 +65,7 @@
     ) {
         val report = readLoad(replica, document) ?: return entry.ledger.markUnreachable()
         val now = clock.nowMillis()
-        entry.safety.report(report.startId, report.preemptions, now)
+        entry.safetyFactor.report(report.startId, report.preemptions, now)
         entry.ledger.report(report, now)
     }
 
@@ -72,20 +73,20 @@
         replica: InstanceId,
         document: ServiceDocument,
     ) {
-        val safety = SafetyFactor()
+        val safetyFactor = SafetyFactor()
         val ledger =
             GrantLedger(
                 replica = replica,
                 host = self.id,
                 policy = document.coldStart,
-                estimator = predictor,
-                capacity = { report, now -> (report.memoryCapacityTokens * safety.value(now)).toLong() },
+                estimator = peakEstimator,
+                capacity = { report, now -> (report.memoryCapacityTokens * safetyFactor.value(now)).toLong() },
             )
     }
 
     private companion object {
         const val POLL_MILLIS = 500L
-        val predictor =
+        val peakEstimator =
             PeakEstimator { reservations ->
                 MemoryPredictor.peakTokens(
                     reservations.map {
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantMessages.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantMessages.kt
@@ -13,7 +13,7 @@
 import io.sequoiawheel.peer.generated.ReplicaState as StateMessage
 import io.sequoiawheel.peer.generated.Reservation as ReservationMessage
 
-/** Conversions between the grant protocol of `core` and its messages. */
+/** Converts between the grant protocol types of `core` and the Protocol Buffers messages. */
 internal object GrantMessages {
     private const val MICROS_PER_MILLI = 1_000
 
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantPeers.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantRpcClient.kt
@@ -17,18 +17,20 @@
 import kotlinx.coroutines.delay
 import java.util.concurrent.ConcurrentHashMap
 
-/** The calls to granting instances. Releases and first-token times are sent in batches; a lost one is repaired by the
- * heartbeats. Thread-safe. */
-internal class GrantPeers(
+/**
+ * Calls granting instances over gRPC. Releases and times to first token are sent in batches; heartbeats repair a lost
+ * release. Thread-safe.
+ */
+internal class GrantRpcClient(
     private val self: Instance,
     private val membership: MembershipTable,
     private val calls: PeerCalls,
 ) {
     private val batches = ConcurrentHashMap<InstanceId, ReleaseRequest.Builder>()
 
-    /** Asks [granter] for room; null if it does not answer. */
+    /** Asks [grantingInstance] for capacity; returns null if it does not answer. */
     suspend fun reserve(
-        granter: InstanceId,
+        grantingInstance: InstanceId,
         replica: InstanceId,
         reservation: Reservation,
     ): ReserveResult? {
@@ -40,7 +42,7 @@
                 .setReplica(replica.value)
                 .setReservation(GrantMessages.toMessage(reservation))
                 .build()
-        val response = calls.call(find(granter) ?: return null, RESERVE_TIMEOUT_MILLIS) { reserve(request) }
+        val response = calls.call(find(grantingInstance) ?: return null, RESERVE_TIMEOUT_MILLIS) { reserve(request) }
         return when {
             response == null -> null
             response.granted -> ReserveResult.GRANTED
@@ -49,9 +51,9 @@
         }
     }
 
-    /** Sends the heartbeats for the replicas of one granting instance; returns the answers by replica. */
+    /** Sends [heartbeats], keyed by replica, to [grantingInstance]; returns the answers by replica, none on failure. */
     suspend fun heartbeat(
-        granter: InstanceId,
+        grantingInstance: InstanceId,
         heartbeats: Map<InstanceId, GrantHeartbeat>,
     ): Map<InstanceId, GrantAnswer> {
         val request =
@@ -61,16 +63,18 @@
                 .setZone(self.zone.value)
                 .addAllReplicas(heartbeats.map { (replica, heartbeat) -> GrantMessages.toMessage(replica, heartbeat) })
                 .build()
-        val response = calls.call(find(granter) ?: return emptyMap()) { heartbeat(request) } ?: return emptyMap()
+        val response =
+            calls.call(find(grantingInstance) ?: return emptyMap()) { heartbeat(request) } ?: return emptyMap()
         return response.repliesList.map(GrantMessages::fromMessage).associateBy { it.state.replica }
     }
 
+    /** Adds the release of [request] to the next batch for [grantingInstance]. */
     fun release(
-        granter: InstanceId,
+        grantingInstance: InstanceId,
         replica: InstanceId,
         request: RequestId,
         tokens: Int,
-    ) = batch(granter) {
+    ) = addToBatch(grantingInstance) {
         addFinished(
             Finished
                 .newBuilder()
@@ -80,38 +84,39 @@
         )
     }
 
-    fun firstToken(
-        granter: InstanceId,
+    /** Adds a time to first token to the next batch for [grantingInstance]. */
+    fun reportFirstToken(
+        grantingInstance: InstanceId,
         replica: InstanceId,
         millis: Long,
-    ) = batch(granter) {
+    ) = addToBatch(grantingInstance) {
         addFirstTokens(FirstToken.newBuilder().setReplica(replica.value).setMillis(millis.toInt()))
     }
 
-    /** Sends batches until cancelled. */
+    /** Sends the batches until cancelled. */
     suspend fun run() {
         while (true) {
             delay(BATCH_MILLIS)
-            batches.keys.forEach { granter ->
-                val batch = batches.remove(granter) ?: return@forEach
-                find(granter)?.let { peer -> calls.call(peer) { release(batch.build()) } }
+            batches.keys.forEach { grantingInstance ->
+                val batch = batches.remove(grantingInstance) ?: return@forEach
+                find(grantingInstance)?.let { peer -> calls.call(peer) { release(batch.build()) } }
             }
         }
     }
 
-    private fun batch(
-        granter: InstanceId,
-        add: ReleaseRequest.Builder.() -> Unit,
+    private fun addToBatch(
+        grantingInstance: InstanceId,
+        addEntry: ReleaseRequest.Builder.() -> Unit,
     ) {
-        batches.compute(granter) { _, old ->
-            (old ?: ReleaseRequest.newBuilder().setInstance(self.id.value)).apply(add)
+        batches.compute(grantingInstance) { _, pending ->
+            (pending ?: ReleaseRequest.newBuilder().setInstance(self.id.value)).apply(addEntry)
         }
     }
 
     private fun find(id: InstanceId): Instance? = membership.listed().firstOrNull { it.id == id }
 
     private companion object {
-        // A granting instance that is slower is treated as unreachable, and the next candidate or the credit is used.
+        // A slower granting instance counts as unreachable; the credit or the next candidate is used instead.
         const val RESERVE_TIMEOUT_MILLIS = 300L
         const val BATCH_MILLIS = 20L
     }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/QueuedPlacement.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/QueuedPlacement.kt
@@ -25,10 +25,13 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.AtomicBoolean
 
-/** Placement through fair queues, predicted lengths and reserved room. Thread-safe. */
+/**
+ * Places requests through one fair queue for each service. The capacity reserved for a generation is based on its
+ * predicted output length. Thread-safe.
+ */
 internal class QueuedPlacement(
     private val zone: ZoneName,
-    private val rooms: RoomSource,
+    private val capacitySource: CapacitySource,
     private val lengths: LengthEstimator,
     private val chooser: ReplicaChooser,
     private val clock: Clock,
@@ -36,98 +39,102 @@
 ) : Placement {
     private val queues = ConcurrentHashMap<ServiceName, ServiceQueue>()
 
-    /** Requests that wait, over all services. */
-    val waiting: Int get() = queues.values.sumOf { it.waiting }
+    /** The number of requests waiting in the queues of all services. */
+    val waitingCount: Int get() = queues.values.sumOf { it.waitingCount }
 
     override suspend fun place(
         demand: Demand,
         avoided: Set<InstanceId>,
     ): Either<Failure, PlacedRequest> {
-        val need = needOf(demand, avoided)
-        tooLarge(need)?.let { return it.left() }
+        val required = requirementsOf(demand, avoided)
+        checkSize(required)?.let { return it.left() }
         val queue = queueOf(demand.document)
-        val waiter = Waiter(need)
-        val arrived = clock.nowMillis()
+        val waiter = Waiter(required)
+        val arrivedMillis = clock.nowMillis()
         queue.offer(waiter)?.let { return it.left() }
-        val room =
+        val result =
             try {
                 waiter.await()
             } catch (error: CancellationException) {
                 queue.remove(waiter)
-                withContext(NonCancellable) { waiter.withdraw() }
+                withContext(NonCancellable) { waiter.cancel() }
                 throw error
             }
-        val granted = room.getOrElse { return it.left() }
-        return PlacedRoom(granted, need, queue, clock.nowMillis() - arrived).right()
+        val capacity = result.getOrElse { return it.left() }
+        return ReservedRequest(capacity, required, queue, clock.nowMillis() - arrivedMillis).right()
     }
 
-    /** Notifies the queues that room may have become free somewhere. */
+    /** Notifies the queues that capacity may have become available. */
     fun signal() = queues.values.forEach { it.signal() }
 
-    private fun needOf(
+    private fun requirementsOf(
         demand: Demand,
         avoided: Set<InstanceId>,
-    ): RoomNeed {
+    ): CapacityRequirements {
         val weight =
             demand.document.workspaces
                 .of(demand.workspace)
                 ?.weight ?: 1
-        val predicted =
+        val predictedTokens =
             if (demand.maximumTokens == 0) {
                 0
             } else {
                 lengths.quantile(keyOf(demand), 0, PREDICTION_QUANTILE).coerceAtMost(demand.maximumTokens)
             }
-        return RoomNeed(demand, avoided.toSet(), predicted, weight)
+        return CapacityRequirements(demand, avoided.toSet(), predictedTokens, weight)
     }
 
-    private fun tooLarge(need: RoomNeed): Failure? {
-        val capacities = rooms.candidates(need).map { it.view.capacityTokens }
-        val isUnknown = capacities.isEmpty() || capacities.any { it == 0L }
-        val limit = need.demand.promptTokens.toLong() + need.demand.maximumTokens
-        return if (isUnknown || limit <= capacities.max()) null else Failure(ResultCode.GENERATION_TOO_LARGE)
+    private fun checkSize(required: CapacityRequirements): Failure? {
+        val capacities = capacitySource.candidates(required).map { it.view.capacityTokens }
+        val isAnyUnknown = capacities.isEmpty() || capacities.any { it == 0L }
+        val totalTokens = required.demand.promptTokens.toLong() + required.demand.maximumTokens
+        return if (isAnyUnknown || totalTokens <= capacities.max()) null else Failure(ResultCode.GENERATION_TOO_LARGE)
     }
 
-    // A queue whose policy was replaced serves its last requests and then ends.
+    // A queue whose policy has changed is replaced; it still serves the requests that wait in it, and then ends.
     private fun queueOf(document: ServiceDocument): ServiceQueue =
-        queues.compute(document.service) { _, old ->
-            old?.takeIf { it.policy == document.queue } ?: start(document.queue).also { old?.retire() }
+        queues.compute(document.service) { _, current ->
+            current?.takeIf { it.policy == document.queue } ?: startQueue(document.queue).also { current?.retire() }
         }!!
 
-    private fun start(policy: ServiceDocument.QueuePolicy): ServiceQueue {
-        val queue = ServiceQueue(policy, zone, rooms, chooser, clock)
+    private fun startQueue(policy: ServiceDocument.QueuePolicy): ServiceQueue {
+        val queue = ServiceQueue(policy, zone, capacitySource, chooser, clock)
         scope.launch { queue.run() }
         return queue
     }
 
     private fun keyOf(demand: Demand) = LengthKey(demand.document.service, demand.workspace, demand.requestKind)
 
-    private inner class PlacedRoom(
-        private val room: RoomSource.Room,
-        private val need: RoomNeed,
+    private inner class ReservedRequest(
+        private val capacity: CapacitySource.ReservedCapacity,
+        private val required: CapacityRequirements,
         private val queue: ServiceQueue,
         override val queueMillis: Long,
     ) : PlacedRequest {
         private val finished = AtomicBoolean()
-        override val replica = room.replica
+        override val replica = capacity.replica
 
-        override fun onFirstToken(elapsedMillis: Long) = room.onFirstToken(elapsedMillis)
+        override fun onFirstToken(elapsedMillis: Long) = capacity.onFirstToken(elapsedMillis)
 
         override fun finish(
             verdict: PlacedRequest.Verdict,
             tokens: Int,
         ) {
             if (!finished.compareAndSet(false, true)) return
-            room.finish(verdict, tokens)
-            val isGeneration = need.demand.maximumTokens > 0
-            if (isGeneration && verdict == PlacedRequest.Verdict.COMPLETED) lengths.record(keyOf(need.demand), tokens)
-            if (isGeneration) queue.correct(need, need.demand.promptTokens.toLong() + tokens)
+            capacity.finish(verdict, tokens)
+            val isGeneration = required.demand.maximumTokens > 0
+            if (isGeneration &&
+                verdict == PlacedRequest.Verdict.COMPLETED
+            ) {
+                lengths.record(keyOf(required.demand), tokens)
+            }
+            if (isGeneration) queue.correctCharge(required, required.demand.promptTokens.toLong() + tokens)
             signal()
         }
     }
 
     private companion object {
-        // Reserving the median makes every second generation outgrow its room; the extreme tail wastes memory.
+        // With the median, every second generation exceeds its reservation; a much higher quantile wastes memory.
         const val PREDICTION_QUANTILE = 0.8
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/ServiceQueue.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/ServiceQueue.kt
@@ -15,140 +15,144 @@
 import kotlinx.coroutines.withTimeoutOrNull
 
 /**
- * The queue of one service and the loop that gives its requests room in fair order. A request at the head that finds
- * no room is restored and keeps its place, so that small requests cannot starve a large one.
+ * The queue of one service and the loop that reserves capacity for its requests in fair order. If no capacity is
+ * available for the request at the head, it is restored there, so that small requests cannot starve a large one.
  */
 internal class ServiceQueue(
     val policy: ServiceDocument.QueuePolicy,
     private val zone: ZoneName,
-    private val rooms: RoomSource,
+    private val capacitySource: CapacitySource,
     private val chooser: ReplicaChooser,
     private val clock: Clock,
 ) {
     private val queue = FairQueue<Waiter>(QueueLimits.of(policy))
-    private val changes = Channel<Unit>(Channel.CONFLATED)
+    private val wakeups = Channel<Unit>(Channel.CONFLATED)
 
     @Volatile
-    private var retired = false
+    private var isRetired = false
 
-    /** Requests that wait. */
-    val waiting: Int get() = queue.queued
+    /** The number of waiting requests. */
+    val waitingCount: Int get() = queue.queued
 
-    /** Queues [waiter] or refuses it at once. */
+    /** Queues [waiter]; returns the failure if it is rejected immediately. */
     fun offer(waiter: Waiter): Failure? {
         val request =
             QueuedRequest(
                 item = waiter,
-                workspace = waiter.need.demand.workspace,
-                weight = waiter.need.weight,
-                costTokens = waiter.need.tokens.coerceAtLeast(1),
-                deadlineMillis = waiter.need.demand.deadlineMillis,
+                workspace = waiter.required.demand.workspace,
+                weight = waiter.required.weight,
+                costTokens = waiter.required.tokens.coerceAtLeast(1),
+                deadlineMillis = waiter.required.demand.deadlineMillis,
             )
-        waiter.queued = request
-        return when (val offer = queue.offer(request, clock.nowMillis())) {
-            is OfferResult.Rejected -> offer.failure
+        waiter.queueEntry = request
+        return when (val result = queue.offer(request, clock.nowMillis())) {
+            is OfferResult.Rejected -> result.failure
             is OfferResult.Queued -> {
-                offer.displaced?.item?.refuse(offer.failure ?: Failure(ResultCode.QUEUE_FULL))
+                result.displaced?.item?.reject(result.failure ?: Failure(ResultCode.QUEUE_FULL))
                 signal()
                 null
             }
         }
     }
 
-    /** Takes [waiter] out after its caller left. */
+    /** Removes [waiter] after its wait was cancelled. */
     fun remove(waiter: Waiter) {
-        waiter.queued?.let(queue::remove)
+        waiter.queueEntry?.let(queue::remove)
     }
 
-    /** Notifies the loop that room may have become free. */
+    /** Notifies the loop that capacity may have become available. */
     fun signal() {
-        changes.trySend(Unit)
+        wakeups.trySend(Unit)
     }
 
-    /** Charges the workspace of [need] what its request really used. */
-    fun correct(
-        need: RoomNeed,
+    /** Replaces the estimated charge of [required] to its workspace by the tokens that the request used. */
+    fun correctCharge(
+        required: CapacityRequirements,
         actualTokens: Long,
-    ) = queue.correct(need.demand.workspace, need.weight, need.tokens.coerceAtLeast(1), actualTokens)
+    ) = queue.correct(required.demand.workspace, required.weight, required.tokens.coerceAtLeast(1), actualTokens)
 
-    /** Ends the loop once the queue is empty; called when another queue has taken its place. */
+    /** Ends the loop once the queue is empty; called when another queue has replaced this one. */
     fun retire() {
-        retired = true
+        isRetired = true
         signal()
     }
 
-    /** Serves the queue until it is retired and empty, or cancelled. */
+    /** Runs the loop until the queue is retired and empty, or until cancelled. */
     suspend fun run() {
-        while (!retired || queue.queued > 0) {
-            val idle = queue.queued == 0
-            if (idle) changes.receive() else withTimeoutOrNull(RECHECK_MILLIS) { changes.receive() }
-            expire()
-            serve()
+        while (!isRetired || queue.queued > 0) {
+            val isIdle = queue.queued == 0
+            if (isIdle) wakeups.receive() else withTimeoutOrNull(RECHECK_MILLIS) { wakeups.receive() }
+            rejectExpired()
+            dispatchWaiting()
         }
     }
 
-    private suspend fun serve() {
+    private suspend fun dispatchWaiting() {
         while (true) {
             val request = queue.poll(clock.nowMillis()) ?: return
-            if (!place(request.item)) return queue.restore(request, clock.nowMillis())
+            if (!tryPlace(request.item)) return queue.restore(request, clock.nowMillis())
         }
     }
 
-    /** Returns false if the request has to wait on. */
-    private suspend fun place(waiter: Waiter): Boolean {
-        val need = waiter.need
-        val candidates = rooms.candidates(need)
+    /** Reserves capacity for [waiter] or rejects it; returns false if it has to keep waiting. */
+    private suspend fun tryPlace(waiter: Waiter): Boolean {
+        val required = waiter.required
+        val candidates = capacitySource.candidates(required)
         if (candidates.none { it.view.eligible }) {
-            waiter.refuse(noReplica())
+            waiter.reject(noReplicaFailure())
             return true
         }
-        val refused = HashSet(avoidable(need, candidates))
-        repeat(MAXIMUM_ASKED) {
-            val request = ReplicaRequirements(zone, need.tokens, need.demand.promptTokens.toLong(), refused)
-            val chosen = chooser.choose(candidates.map { it.view }, request) { rooms.cachedTokens(it, need) }
+        val excluded = HashSet(replicasToAvoid(required, candidates))
+        repeat(MAXIMUM_RESERVE_ATTEMPTS) {
+            val replicaRequirements =
+                ReplicaRequirements(zone, required.tokens, required.demand.promptTokens.toLong(), excluded)
+            val chosen =
+                chooser.choose(candidates.map { it.view }, replicaRequirements) {
+                    capacitySource.cachedTokens(it, required)
+                }
             val candidate = candidates.firstOrNull { it.instance.id == chosen?.replica } ?: return false
-            val room = rooms.reserve(candidate.instance, need)
-            if (room != null) {
-                waiter.grant(room)
+            val capacity = capacitySource.reserve(candidate.instance, required)
+            if (capacity != null) {
+                waiter.grant(capacity)
                 return true
             }
-            refused += candidate.instance.id
+            excluded += candidate.instance.id
         }
         return false
     }
 
-    /** What the request already tried is left out, unless nothing else could serve it. */
-    private fun avoidable(
-        need: RoomNeed,
-        candidates: List<RoomSource.Candidate>,
-    ) = if (candidates.any { it.view.eligible && it.instance.id !in need.avoided }) need.avoided else emptySet()
+    /** Returns the replicas that the request already tried, or none if no other eligible replica is left. */
+    private fun replicasToAvoid(
+        required: CapacityRequirements,
+        candidates: List<CapacitySource.Candidate>,
+    ) = if (candidates.any { it.view.eligible && it.instance.id !in required.avoided }) required.avoided else emptySet()
 
-    private fun expire() {
+    private fun rejectExpired() {
         val now = clock.nowMillis()
         queue.expire(now).forEach { request ->
-            val isDeadline = request.item.need.demand.deadlineMillis <= now
-            val code = if (isDeadline) ResultCode.DEADLINE_BEFORE_DISPATCH else ResultCode.QUEUE_TIMEOUT
-            request.item.refuse(Failure(code, retryAfterMillis = retryAfter(request, now)))
+            val isPastDeadline = request.item.required.demand.deadlineMillis <= now
+            val code = if (isPastDeadline) ResultCode.DEADLINE_BEFORE_DISPATCH else ResultCode.QUEUE_TIMEOUT
+            request.item.reject(Failure(code, retryAfterMillis = retryAfterMillisOf(request, now)))
         }
     }
 
-    private fun retryAfter(
+    private fun retryAfterMillisOf(
         request: QueuedRequest<Waiter>,
         now: Long,
     ): Long =
         queue.predictedWaitMillis(request.workspace, request.weight, request.costTokens, now)
             ?: policy.maximumWaitMillis
 
-    private fun noReplica() = Failure(ResultCode.NO_REPLICA, retryAfterMillis = NO_REPLICA_RETRY_MILLIS)
+    private fun noReplicaFailure() = Failure(ResultCode.NO_REPLICA, retryAfterMillis = NO_REPLICA_RETRY_MILLIS)
 
     private companion object {
-        // Room becomes free at other entry instances, too, of which no signal comes here.
+        // Other entry instances release capacity, too, which does not signal this queue.
         const val RECHECK_MILLIS = 25L
 
-        // After a few refusals the views are out of date; fresh ones arrive with the refusals themselves.
-        const val MAXIMUM_ASKED = 4
+        // Several refusals in a row mean that the replica views are stale; the refusals themselves bring newer ones.
+        const val MAXIMUM_RESERVE_ATTEMPTS = 4
 
-        // Replicas appear in the instance list with a lag of about a second.
+        // A new replica appears in the instance list after about a second.
         const val NO_REPLICA_RETRY_MILLIS = 2_000L
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/Waiter.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/Waiter.kt
@@ -8,33 +8,33 @@
 import io.sequoiawheel.core.serving.PlacedRequest
 import kotlinx.coroutines.CompletableDeferred
 
-/** One request that waits for room. Exactly one of room, refusal or withdrawal takes effect. Thread-safe. */
+/** A request that waits for capacity. Exactly one of [grant], [reject] and [cancel] takes effect. Thread-safe. */
 internal class Waiter(
-    val need: RoomNeed,
+    val required: CapacityRequirements,
 ) {
-    private val result = CompletableDeferred<Either<Failure, RoomSource.Room>>()
+    private val result = CompletableDeferred<Either<Failure, CapacitySource.ReservedCapacity>>()
 
-    /** Its entry in the queue, for removal. */
+    /** The entry in the queue, needed to remove it. */
     @Volatile
-    var queued: QueuedRequest<Waiter>? = null
+    var queueEntry: QueuedRequest<Waiter>? = null
 
-    suspend fun await(): Either<Failure, RoomSource.Room> = result.await()
+    suspend fun await(): Either<Failure, CapacitySource.ReservedCapacity> = result.await()
 
-    fun refuse(failure: Failure) {
+    fun reject(failure: Failure) {
         result.complete(failure.left())
     }
 
-    /** Hands [room] over, or gives it back if the caller has left. */
-    fun grant(room: RoomSource.Room) {
-        if (!result.complete(room.right())) room.finish(PlacedRequest.Verdict.CANCELLED, 0)
+    /** Completes the wait with [capacity], or releases it if the wait was cancelled. */
+    fun grant(capacity: CapacitySource.ReservedCapacity) {
+        if (!result.complete(capacity.right())) capacity.finish(PlacedRequest.Verdict.CANCELLED, 0)
     }
 
-    /** Ends the waiting because the caller left; room that was granted meanwhile is given back. */
-    suspend fun withdraw() {
-        if (!result.completeExceptionally(WithdrawnException())) {
+    /** Cancels the wait because the caller disconnected; releases capacity that was granted meanwhile. */
+    suspend fun cancel() {
+        if (!result.completeExceptionally(WaitCancelledException())) {
             result.await().onRight { it.finish(PlacedRequest.Verdict.CANCELLED, 0) }
         }
     }
 
-    private class WithdrawnException : Exception("the caller left the queue")
+    private class WaitCancelledException : Exception("the caller disconnected while its request was queued")
 }
