--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/EntryDaemon.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/EntryDaemon.kt
@@ -28,21 +28,21 @@
 import io.sequoiawheel.daemon.gateway.HttpEngineGateway
 import io.sequoiawheel.daemon.gateway.HttpEngineOrders
 import io.sequoiawheel.daemon.gateway.HttpPlainGateway
-import io.sequoiawheel.daemon.http.AccountFilter
 import io.sequoiawheel.daemon.http.CallHandler
 import io.sequoiawheel.daemon.http.CallerServer
 import io.sequoiawheel.daemon.http.ConcurrencyFilter
 import io.sequoiawheel.daemon.http.DaemonMetrics
 import io.sequoiawheel.daemon.http.DeadlineFilter
-import io.sequoiawheel.daemon.http.Gate
 import io.sequoiawheel.daemon.http.GenerationHandler
 import io.sequoiawheel.daemon.http.HeaderLimitFilter
+import io.sequoiawheel.daemon.http.RequestLogFilter
 import io.sequoiawheel.daemon.http.RequestReader
-import io.sequoiawheel.daemon.http.RespondFilter
+import io.sequoiawheel.daemon.http.ResponseFilter
 import io.sequoiawheel.daemon.http.ResumeHandler
 import io.sequoiawheel.daemon.http.ServiceFilter
+import io.sequoiawheel.daemon.http.ShutdownFilter
 import io.sequoiawheel.daemon.http.WorkspaceFilter
-import io.sequoiawheel.daemon.http.before
+import io.sequoiawheel.daemon.http.wrap
 import io.sequoiawheel.daemon.settings.DaemonSettings
 import io.sequoiawheel.objectapi.HttpInstanceList
 import io.sequoiawheel.objectapi.HttpObjectApi
@@ -60,14 +60,14 @@
 import java.util.UUID
 
 /**
- * One entry instance: the callers' interface and the controllers behind it. Started once; [leave] shuts it down
- * gracefully, [close] at once.
+ * An entry instance: the HTTP server for callers and the controllers behind it. It can be started only once. [leave]
+ * shuts it down gracefully, [close] immediately.
  */
 class EntryDaemon(
     private val settings: DaemonSettings,
 ) : AutoCloseable {
     private val clock = Clock { System.nanoTime() / NANOS_PER_MILLI }
-    private val random = UniformRandomProvider { ThreadLocalRandomSource.current(GENERATOR).nextLong() }
+    private val random = UniformRandomProvider { ThreadLocalRandomSource.current(RANDOM_SOURCE).nextLong() }
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
     private val registry = PrometheusMeterRegistry(PrometheusConfig.DEFAULT)
     private val metrics = DaemonMetrics(registry)
@@ -84,7 +84,7 @@
     private val weights = HttpWeightStore(settings.platform.weightStore, transport)
     private val orders = OrderDuty(HttpEngineOrders(backends), weights, clock, ::readLoad)
     private val control =
-        ControlPlane(self(settings.peer.port), objects, instances, scope, clock, random, orders, ::readLoad)
+        ControlPlane(ownInstance(settings.peer.port), objects, instances, scope, clock, random, orders, ::readLoad)
     private val membership = control.membership
     private val documents = control.configuration
     private val placement = control.placement
@@ -95,7 +95,7 @@
             api = objects,
             instance = settings.instanceId,
             wallClock = { System.currentTimeMillis() },
-            isLive = ::isKnownEntry,
+            isLive = ::isListedEntry,
             newClaimId = { UUID.randomUUID().toString() },
         )
     private val calls =
@@ -108,34 +108,34 @@
             scope,
             ::uniqueId,
         )
-    private val gate = Gate()
-    private val server = CallerServer(settings, clock, chains(), registry, ::obstacle)
+    private val shutdownFilter = ShutdownFilter()
+    private val server = CallerServer(settings, clock, createChains(), registry, ::unreadyReason)
 
-    /** Starts to serve, or fails with `BIND_FAILED`. */
+    /** Starts the servers and the background tasks, or returns `BIND_FAILED`. */
     suspend fun start(): Either<Failure, Unit> {
         try {
             control.bind()
             port = server.start()
         } catch (error: Exception) {
-            val addresses = "${self().peerAddress} and ${self().address}"
+            val addresses = "${ownInstance().peerAddress} and ${ownInstance().address}"
             return Failure(ResultCode.BIND_FAILED, "cannot listen on $addresses: ${error.message}").left()
         }
-        metrics.gauge("sequoiawheel.requests.in.progress") { gate.requests }
+        metrics.gauge("sequoiawheel.requests.in.progress") { shutdownFilter.requestsInProgress }
         metrics.gauge("sequoiawheel.requests.waiting") { placement.waiting }
         metrics.gauge("sequoiawheel.claims.pending") { claims.pendingCount }
         control.start()
-        scope.supervise("registration") { keepRegistered() }
+        scope.supervise("registration") { registerPeriodically() }
         scope.supervise("claims") { claims.runBackground() }
         logger.info { "entry instance ${settings.instanceId} listens on ${settings.listen.host}:$port" }
         return Unit.right()
     }
 
-    /** Refuses new requests, finishes every request in progress however long it takes, and closes. */
+    /** Rejects new requests, waits without a time limit for the requests in progress, then closes. */
     suspend fun leave() {
-        gate.leave()
+        shutdownFilter.beginShutdown()
         control.leave()
-        instances.register(self().copy(state = Instance.State.LEAVING))
-        gate.awaitEmpty()
+        instances.register(ownInstance().copy(state = Instance.State.LEAVING))
+        shutdownFilter.awaitDrained()
         generations.abandoned.awaitEmpty()
         calls.awaitSettled()
         server.stop()
@@ -143,7 +143,7 @@
         close()
     }
 
-    /** Stops at once; requests in progress break off. */
+    /** Stops immediately and aborts the requests in progress. */
     override fun close() {
         scope.cancel()
         server.stopNow()
@@ -152,16 +152,16 @@
         transport.close()
     }
 
-    // The platform's list may be told again after an outage of its own.
-    private suspend fun keepRegistered() {
+    // Repeats the registration, because the platform's instance list may need it again after an outage of its own.
+    private suspend fun registerPeriodically() {
         while (true) {
-            val state = if (gate.isLeaving) Instance.State.LEAVING else Instance.State.LIVE
-            instances.register(self().copy(state = state))
+            val state = if (shutdownFilter.isLeaving) Instance.State.LEAVING else Instance.State.LIVE
+            instances.register(ownInstance().copy(state = state))
             delay(REGISTER_INTERVAL_MILLIS)
         }
     }
 
-    private fun self(peerPort: Int = control.port) =
+    private fun ownInstance(peerPort: Int = control.port) =
         Instance(
             id = settings.instanceId,
             role = Instance.Role.ENTRY,
@@ -173,42 +173,42 @@
 
     private fun uniqueId(requestId: RequestId) = RequestId("${requestId.value}.${UUID.randomUUID()}")
 
-    private fun obstacle(): String? =
+    private fun unreadyReason(): String? =
         when {
-            gate.isLeaving -> "leaving"
+            shutdownFilter.isLeaving -> "leaving"
             !documents.isKnown -> "no configuration"
             membership.viewAgeMillis(clock.nowMillis()) == null -> "no instance list"
             else -> null
         }
 
-    private fun chains(): CallerServer.Chains {
+    private fun createChains(): CallerServer.HandlerChains {
         val handles = ResumeHandleCodec(Base64.getDecoder().decode(settings.resumeKey))
         val reader = RequestReader(settings.limits.bodyBytes)
         val concurrency = ConcurrencyFilter(settings.limits.requests)
-        val common =
+        val commonFilters =
             listOf(
-                gate,
-                RespondFilter,
-                AccountFilter(metrics, clock),
-                Gate.RefuseLeaving,
+                shutdownFilter,
+                ResponseFilter,
+                RequestLogFilter(metrics, clock),
+                ShutdownFilter.RejectWhenLeaving,
                 HeaderLimitFilter(settings.limits.headerBytes),
                 WorkspaceFilter,
                 DeadlineFilter(clock),
             )
-        val toService = common + ServiceFilter(documents)
+        val serviceFilters = commonFilters + ServiceFilter(documents)
         val generation =
             GenerationHandler(generations, handles, reader, clock, settings.limits.wholeAnswerBytes)
         val resume = ResumeHandler(generations, handles, documents, ::findReplica)
         val call = CallHandler(calls, reader, clock)
-        return CallerServer.Chains(
-            generation = (toService + concurrency).before(generation::handle),
-            resume = common.before(resume::handle),
-            call = (toService + concurrency).before(call::run),
-            outcome = toService.before(call::outcome),
+        return CallerServer.HandlerChains(
+            generation = (serviceFilters + concurrency).wrap(generation::handle),
+            resume = commonFilters.wrap(resume::handle),
+            call = (serviceFilters + concurrency).wrap(call::run),
+            outcome = serviceFilters.wrap(call::outcome),
         )
     }
 
-    private fun isKnownEntry(id: InstanceId): Boolean =
+    private fun isListedEntry(id: InstanceId): Boolean =
         id == settings.instanceId || membership.listed().any { it.id == id && it.role == Instance.Role.ENTRY }
 
     private suspend fun readLoad(
@@ -225,7 +225,7 @@
     private companion object {
         const val NANOS_PER_MILLI = 1_000_000L
         const val REGISTER_INTERVAL_MILLIS = 2_000L
-        val GENERATOR: RandomSource = RandomSource.XO_SHI_RO_256_PP
+        val RANDOM_SOURCE: RandomSource = RandomSource.XO_SHI_RO_256_PP
         val logger = KotlinLogging.logger {}
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/BackendClient.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/BackendClient.kt
@@ -15,8 +15,8 @@
 import java.nio.channels.UnresolvedAddressException
 
 /**
- * The HTTP client for backend servers. It opens one connection for each request and never repeats a request, so a
- * connection that cannot be opened proves that no byte of the request left.
+ * The HTTP client for backend servers. It opens a connection per request and never retries, so a failure to connect
+ * proves that no byte of the request was sent.
  */
 class BackendClient : AutoCloseable {
     internal val http =
@@ -43,18 +43,18 @@
         const val DEADLINE_HEADER = "X-Deadline-Millis"
         const val RETRY_AFTER_HEADER = "X-Retry-After-Millis"
 
-        // Streams are bounded by the limit of requests; the client's own bounds would queue silently.
+        // The limit on concurrent requests bounds the connections; a lower limit here would queue requests unnoticed.
         private const val MAXIMUM_CONNECTIONS = 100_000
 
-        // Backend servers are one to three milliseconds away.
+        // The network latency to a backend server is one to three milliseconds.
         private const val CONNECT_TIMEOUT_MILLIS = 1_000L
 
         /**
-         * Runs [block] and turns what it throws into a [DispatchException], except the caller's own cancellation and
-         * what is thrown while [handingOn] says that the caller's code runs inside the block.
+         * Runs [block] and translates its exceptions to [DispatchException]. Cancellation of the calling coroutine is
+         * rethrown, and so is any exception while [isEmitting] returns true, as it comes from the collector of events.
          */
-        suspend fun <T> dispatching(
-            handingOn: () -> Boolean = { false },
+        suspend fun <T> translatingFailures(
+            isEmitting: () -> Boolean = { false },
             block: suspend () -> T,
         ): T =
             try {
@@ -62,23 +62,24 @@
             } catch (error: DispatchException) {
                 throw error
             } catch (error: CancellationException) {
-                if (handingOn()) throw error
-                // The client also cancels a request whose connection broke.
+                if (isEmitting()) throw error
+                // The client also reports a broken connection as a cancellation.
                 currentCoroutineContext().ensureActive()
-                throw lost(error)
+                throw connectionLost(error)
             } catch (error: Exception) {
-                throw if (handingOn()) error else translated(error)
+                throw if (isEmitting()) error else toDispatchException(error)
             }
 
-        private fun translated(error: Exception) = if (isConnectFailure(error)) notConnected(error) else lost(error)
+        private fun toDispatchException(error: Exception) =
+            if (isConnectFailure(error)) connectFailed(error) else connectionLost(error)
 
-        /** Returns the failure for a status other than success. [id] must be named by the server's proof. */
-        fun refusal(
+        /** Translates an error status. Proof that the request did not run is accepted only if it names [id]. */
+        fun rejection(
             response: HttpResponse,
             id: String,
         ): DispatchException {
-            val proven = response.headers[NOT_RUN_HEADER] == id
-            val outcome = if (proven) DispatchException.Outcome.NOT_RUN else DispatchException.Outcome.UNKNOWN
+            val provenNotRun = response.headers[NOT_RUN_HEADER] == id
+            val outcome = if (provenNotRun) DispatchException.Outcome.NOT_RUN else DispatchException.Outcome.UNKNOWN
             val retryAfter = response.headers[RETRY_AFTER_HEADER]?.toLongOrNull()
             val message = "the backend server answered with status ${response.status.value}"
             return DispatchException(outcome, message, retryAfterMillis = retryAfter)
@@ -90,15 +91,19 @@
                 error is NoRouteToHostException ||
                 error is UnresolvedAddressException
 
-        private fun notConnected(error: Exception) =
+        private fun connectFailed(error: Exception) =
             DispatchException(
                 DispatchException.Outcome.NOT_RUN,
-                "no connection: ${error.message}",
+                "cannot connect to the backend server: ${error.message}",
                 error,
                 ResultCode.CONNECT_FAILED,
             )
 
-        private fun lost(error: Exception) =
-            DispatchException(DispatchException.Outcome.UNKNOWN, "connection lost: ${error.message}", error)
+        private fun connectionLost(error: Exception) =
+            DispatchException(
+                DispatchException.Outcome.UNKNOWN,
+                "connection to the backend server lost: ${error.message}",
+                error,
+            )
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/EngineEventReader.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/EngineEventReader.kt
@@ -7,7 +7,7 @@
 import io.sequoiawheel.core.serving.EngineEvent
 import kotlinx.serialization.SerializationException
 
-/** Reads an engine's server-sent events. */
+/** Reads the server-sent events of a generation from an engine. */
 internal class EngineEventReader(
     private val channel: ByteReadChannel,
     private val generation: RequestId,
@@ -19,16 +19,16 @@
     /** Returns the next event, or null at the end of the connection. */
     suspend fun next(): EngineEvent? {
         while (true) {
-            val line = channel.readUTF8Line(MAXIMUM_LINE) ?: return null
+            val line = channel.readUTF8Line(MAXIMUM_LINE_LENGTH) ?: return null
             if (line.isEmpty()) {
-                complete()?.let { return it }
+                buildEvent()?.let { return it }
             } else {
-                takeField(line)
+                parseField(line)
             }
         }
     }
 
-    private fun takeField(line: String) {
+    private fun parseField(line: String) {
         when {
             line.startsWith("id:") -> id = line.substring("id:".length).trim()
             line.startsWith("event:") -> event = line.substring("event:".length).trim()
@@ -36,36 +36,36 @@
         }
     }
 
-    private fun complete(): EngineEvent? {
+    private fun buildEvent(): EngineEvent? {
         val name = event
         event = ""
         return try {
             when (name) {
-                "token" -> token()
-                "done" -> done()
+                "token" -> parseToken()
+                "done" -> parseDone()
                 "" -> null
-                else -> throw unusable("unknown event $name")
+                else -> throw malformedEvent("unknown event type $name")
             }
         } catch (error: SerializationException) {
-            throw unusable(error.message.orEmpty())
+            throw malformedEvent(error.message.orEmpty())
         }
     }
 
-    private fun token(): EngineEvent {
-        val offset = id.toIntOrNull() ?: throw unusable("a token without offset")
+    private fun parseToken(): EngineEvent {
+        val offset = id.toIntOrNull() ?: throw malformedEvent("token event without an offset")
         val body = EngineWire.json.decodeFromString(EngineWire.Token.serializer(), data)
         return EngineEvent.Token(RequestId(body.generation), offset, body.text)
     }
 
-    private fun done(): EngineEvent {
+    private fun parseDone(): EngineEvent {
         val body = EngineWire.json.decodeFromString(EngineWire.Done.serializer(), data)
         return EngineEvent.Done(body.generation?.let(::RequestId) ?: generation, body.tokens)
     }
 
-    private fun unusable(reason: String) =
-        DispatchException(DispatchException.Outcome.UNKNOWN, "unusable event of an engine: $reason")
+    private fun malformedEvent(reason: String) =
+        DispatchException(DispatchException.Outcome.UNKNOWN, "malformed event from the engine: $reason")
 
     private companion object {
-        const val MAXIMUM_LINE = 1_048_576
+        const val MAXIMUM_LINE_LENGTH = 1_048_576
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/EngineWire.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/EngineWire.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
 
-/** The JSON bodies of the engines' protocol. */
+/** JSON bodies of the engine protocol. */
 internal object EngineWire {
     val json = Json { ignoreUnknownKeys = true }
 
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/HttpEngineGateway.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/HttpEngineGateway.kt
@@ -30,7 +30,7 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import kotlinx.serialization.json.Json
 
-/** Model engines over HTTP and server-sent events. */
+/** Communicates with model engines over HTTP and server-sent events. */
 class HttpEngineGateway(
     private val client: BackendClient,
 ) : EngineGateway {
@@ -44,7 +44,7 @@
                 client.http.preparePost("http://${replica.address}/generations") {
                     setBody(TextContent(body, ContentType.Application.Json))
                 }
-            relay(statement, request.generation)
+            emitEvents(statement, request.generation)
         }
 
     override fun resume(
@@ -53,41 +53,41 @@
         offset: Int,
     ): Flow<EngineEvent> =
         flow {
-            relay(client.http.prepareGet("${url(replica, generation)}?from=$offset"), generation)
+            emitEvents(client.http.prepareGet("${generationUrl(replica, generation)}?from=$offset"), generation)
         }
 
     override suspend fun cancel(
         replica: Instance,
         generation: RequestId,
-    ): Either<Failure, Unit> = delete(url(replica, generation))
+    ): Either<Failure, Unit> = delete(generationUrl(replica, generation))
 
     override suspend fun cancelUnattended(
         replica: Instance,
         generation: RequestId,
-    ): Either<Failure, Unit> = delete("${url(replica, generation)}?unattended=true")
+    ): Either<Failure, Unit> = delete("${generationUrl(replica, generation)}?unattended=true")
 
     private suspend fun delete(url: String): Either<Failure, Unit> =
         try {
             val status =
                 withTimeoutOrNull(CANCEL_TIMEOUT_MILLIS) {
-                    BackendClient.dispatching { client.http.delete(url).status }
+                    BackendClient.translatingFailures { client.http.delete(url).status }
                 }
-            val isDone = status?.isSuccess() == true || status == HttpStatusCode.NotFound
-            if (isDone || status == HttpStatusCode.Conflict) Unit.right() else notCancelled()
+            val hasEnded = status?.isSuccess() == true || status == HttpStatusCode.NotFound
+            if (hasEnded || status == HttpStatusCode.Conflict) Unit.right() else cancellationUnconfirmed()
         } catch (error: DispatchException) {
-            notCancelled()
+            cancellationUnconfirmed()
         }
 
     override suspend fun load(replica: Instance): Either<Failure, LoadReport> = LoadReader.read(client, replica)
 
-    private suspend fun FlowCollector<EngineEvent>.relay(
+    private suspend fun FlowCollector<EngineEvent>.emitEvents(
         statement: HttpStatement,
         generation: RequestId,
     ) {
         var emitting = false
-        BackendClient.dispatching({ emitting }) {
+        BackendClient.translatingFailures({ emitting }) {
             statement.execute { response ->
-                if (!response.status.isSuccess()) throw refusal(response, generation)
+                if (!response.status.isSuccess()) throw rejection(response, generation)
                 val events = EngineEventReader(response.bodyAsChannel(), generation)
                 while (true) {
                     val event = events.next() ?: break
@@ -99,23 +99,24 @@
         }
     }
 
-    private fun refusal(
+    private fun rejection(
         response: HttpResponse,
         generation: RequestId,
     ): DispatchException =
         when (response.status) {
             HttpStatusCode.NotFound, HttpStatusCode.Gone ->
-                DispatchException(DispatchException.Outcome.GONE, "the engine does not know the generation")
+                DispatchException(DispatchException.Outcome.GONE, "the engine does not have the generation")
 
-            else -> BackendClient.refusal(response, generation.value)
+            else -> BackendClient.rejection(response, generation.value)
         }
 
-    private fun url(
+    private fun generationUrl(
         replica: Instance,
         generation: RequestId,
     ) = "http://${replica.address}/generations/${generation.value.encodeURLPathPart()}"
 
-    private fun notCancelled() = Failure(ResultCode.BACKEND_ERROR, "the cancellation was not confirmed").left()
+    private fun cancellationUnconfirmed() =
+        Failure(ResultCode.BACKEND_ERROR, "the engine did not confirm the cancellation").left()
 
     private companion object {
         const val CANCEL_TIMEOUT_MILLIS = 2_000L
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/HttpEngineOrders.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/HttpEngineOrders.kt
@@ -23,7 +23,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.SerializationException
 
-/** Orders to engines over HTTP. */
+/** Sends orders to engines and reads them back over HTTP. */
 class HttpEngineOrders(
     private val client: BackendClient,
 ) : EngineOrders {
@@ -32,7 +32,7 @@
         order: Order,
         fencing: Long,
     ): Either<Failure, Unit> =
-        within {
+        callEngine {
             val path = order.target.split('/').joinToString("/") { it.encodeURLPathPart() }
             val body = EngineWire.json.encodeToString(OrderBody.serializer(), OrderBody(fencing, order.desired))
             val response =
@@ -47,16 +47,17 @@
         }
 
     override suspend fun read(replica: Instance): Either<Failure, List<HeldOrder>> =
-        within {
+        callEngine {
             val response = client.http.get("http://${replica.address}/orders")
-            if (!response.status.isSuccess()) return@within unconfirmed("status ${response.status.value}")
+            if (!response.status.isSuccess()) return@callEngine unconfirmed("status ${response.status.value}")
             val body = EngineWire.json.decodeFromString(OrdersBody.serializer(), response.bodyAsText())
             body.orders.map { HeldOrder(Order(it.target, it.desired), it.fencing, it.inEffect) }.right()
         }
 
-    private suspend fun <T> within(block: suspend () -> Either<Failure, T>): Either<Failure, T> =
+    private suspend fun <T> callEngine(block: suspend () -> Either<Failure, T>): Either<Failure, T> =
         try {
-            withTimeoutOrNull(TIMEOUT_MILLIS) { BackendClient.dispatching { block() } } ?: unconfirmed("no answer")
+            withTimeoutOrNull(TIMEOUT_MILLIS) { BackendClient.translatingFailures { block() } }
+                ?: unconfirmed("no answer")
         } catch (error: DispatchException) {
             Failure(error.code ?: ResultCode.ORDER_UNCONFIRMED, error.message.orEmpty()).left()
         } catch (error: SerializationException) {
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/HttpPlainGateway.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/HttpPlainGateway.kt
@@ -19,7 +19,7 @@
 import io.sequoiawheel.core.serving.PlainRequest
 import kotlinx.serialization.json.Json
 
-/** Plain services over HTTP. */
+/** Calls plain services over HTTP. */
 class HttpPlainGateway(
     private val client: BackendClient,
 ) : PlainGateway {
@@ -28,7 +28,7 @@
         request: PlainRequest,
         deadlineMillis: Long,
     ): PlainAnswer =
-        BackendClient.dispatching {
+        BackendClient.translatingFailures {
             val id = request.requestId.value
             val response =
                 client.http.post("http://${replica.address}/calls/${request.call.encodeURLPathPart()}") {
@@ -36,25 +36,26 @@
                     header(BackendClient.DEADLINE_HEADER, deadlineMillis)
                     setBody(TextContent(request.body, ContentType.Application.Json))
                 }
-            if (BackendClient.NOT_RUN_HEADER in response.headers) throw BackendClient.refusal(response, id)
+            if (BackendClient.NOT_RUN_HEADER in response.headers) throw BackendClient.rejection(response, id)
             val body = response.bodyAsText()
-            if (response.headers[BackendClient.REQUEST_HEADER] != id) throw mismatch()
-            if (response.status.isSuccess() && !isCompleteJson(body)) throw truncated()
+            if (response.headers[BackendClient.REQUEST_HEADER] != id) throw answerMismatch()
+            if (response.status.isSuccess() && !isCompleteJson(body)) throw truncatedAnswer()
             PlainAnswer(request.requestId, response.status.value, body)
         }
 
     override suspend fun load(replica: Instance): Either<Failure, LoadReport> = LoadReader.read(client, replica)
 
-    // The HTTP client takes a chunked body whose connection broke for a complete one.
+    // The HTTP client treats a chunked body as complete even if its connection broke.
     private fun isCompleteJson(body: String): Boolean =
         body.isEmpty() || Either.catch { Json.parseToJsonElement(body) }.isRight()
 
-    private fun truncated() = DispatchException(DispatchException.Outcome.UNKNOWN, "the answer is not complete JSON")
+    private fun truncatedAnswer() =
+        DispatchException(DispatchException.Outcome.UNKNOWN, "the answer is not valid JSON and may be truncated")
 
-    private fun mismatch() =
+    private fun answerMismatch() =
         DispatchException(
             DispatchException.Outcome.UNKNOWN,
-            "the answer names another request",
+            "the answer has the ID of another request",
             code = ResultCode.ANSWER_MISMATCH,
         )
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/LoadReader.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/gateway/LoadReader.kt
@@ -16,9 +16,9 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import kotlinx.serialization.json.Json
 
-/** Reads load reports of any kind of backend server. */
+/** Reads the load reports of engines and plain services. */
 internal object LoadReader {
-    // A report is asked for every 500 ms and is worthless after a few of these periods.
+    // Reports are read every 500 ms, and one that is a few periods old is useless.
     private const val TIMEOUT_MILLIS = 1_000L
     private val json = Json { ignoreUnknownKeys = true }
 
@@ -27,7 +27,7 @@
         replica: Instance,
     ): Either<Failure, LoadReport> =
         try {
-            withTimeoutOrNull(TIMEOUT_MILLIS) { fetch(client, replica) } ?: failed(replica, "no answer in time")
+            withTimeoutOrNull(TIMEOUT_MILLIS) { fetch(client, replica) } ?: failed(replica, "timed out")
         } catch (error: CancellationException) {
             currentCoroutineContext().ensureActive()
             failed(replica, "connection lost")
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/AnswerTooLargeException.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/AnswerTooLargeException.kt
@@ -1,4 +1,4 @@
 package io.sequoiawheel.daemon.http
 
-/** A `whole` answer exceeds the limit of the settings. */
+/** Thrown when an answer with `whole` delivery exceeds `limits.wholeAnswerBytes`. */
 internal class AnswerTooLargeException : Exception("the answer exceeds limits.wholeAnswerBytes; use stream delivery")
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/WholeSink.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/BufferingSink.kt
@@ -4,17 +4,17 @@
 import io.sequoiawheel.core.model.RequestId
 import io.sequoiawheel.core.serving.GenerationSink
 
-/** Keeps the tokens of one generation until it is complete. Nothing counts as delivered before that. */
-internal class WholeSink(
+/** Buffers the tokens of a generation until it is complete; until then, none counts as delivered. */
+internal class BufferingSink(
     private val maximumBytes: Int,
     private val onFirstToken: () -> Unit,
 ) : GenerationSink {
-    private val answer = StringBuilder()
+    private val buffer = StringBuilder()
 
     override val delivered = false
 
-    /** The answer so far. */
-    val text: String get() = answer.toString()
+    /** The text received so far. */
+    val text: String get() = buffer.toString()
 
     override suspend fun onAccepted(
         replica: Instance,
@@ -26,9 +26,9 @@
         text: String,
     ) {
         if (offset == 0) onFirstToken()
-        if (answer.length + text.length > maximumBytes) throw AnswerTooLargeException()
-        answer.append(text)
+        if (buffer.length + text.length > maximumBytes) throw AnswerTooLargeException()
+        buffer.append(text)
     }
 
-    override fun onRestart() = answer.setLength(0)
+    override fun onRestart() = buffer.setLength(0)
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/CallerServer.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/CallerServer.kt
@@ -21,17 +21,21 @@
 import io.sequoiawheel.daemon.settings.DaemonSettings
 import java.util.UUID
 
-/** The HTTP server for callers. */
+/**
+ * The HTTP server for callers.
+ *
+ * @param unreadyReason returns why the instance is not ready to serve, or null if it is ready
+ */
 internal class CallerServer(
     private val settings: DaemonSettings,
     private val clock: Clock,
-    private val chains: Chains,
+    private val chains: HandlerChains,
     private val registry: PrometheusMeterRegistry,
-    private val readiness: () -> String?,
+    private val unreadyReason: () -> String?,
 ) {
     private val server: EmbeddedServer<CIOApplicationEngine, CIOApplicationEngine.Configuration> =
         embeddedServer(CIO, port = settings.listen.port, host = settings.listen.host) {
-            // A caller that leaves while its request waits gives its place in the queue back.
+            // Cancels a request whose caller disconnects, which also frees its place in the queue.
             install(HttpRequestLifecycle) { cancelCallOnClose = true }
             routing { routes() }
         }
@@ -45,12 +49,12 @@
             .port
     }
 
-    /** Stops the server at once; graceful shutdown has waited before. */
+    /** Stops the server without waiting for requests; a graceful shutdown waits for them beforehand. */
     suspend fun stop() {
         server.stopSuspend(0, STOP_TIMEOUT_MILLIS)
     }
 
-    /** Like [stop], for callers that cannot suspend. */
+    /** Like [stop], for code that cannot suspend. */
     fun stopNow() {
         server.stop(0, STOP_TIMEOUT_MILLIS)
     }
@@ -61,7 +65,7 @@
         post("/v1/services/{service}/calls/{call}") { serve(Exchange.Kind.CALL, chains.call) }
         get("/v1/services/{service}/calls/{call}/outcomes/{key}") { serve(Exchange.Kind.OUTCOME, chains.outcome) }
         get("/health") { call.respondText("ok\n") }
-        get("/ready") { respondReadiness(call) }
+        get("/ready") { respondReady(call) }
         get("/metrics") { call.respondText(registry.scrape(), ContentType.Text.Plain) }
     }
 
@@ -73,21 +77,21 @@
     }
 
     private fun requestIdOf(call: ApplicationCall): RequestId {
-        val given = call.request.headers["X-Request-Id"]?.takeIf { idPattern.matches(it) }
-        return RequestId(given ?: UUID.randomUUID().toString())
+        val callerRequestId = call.request.headers["X-Request-Id"]?.takeIf { requestIdPattern.matches(it) }
+        return RequestId(callerRequestId ?: UUID.randomUUID().toString())
     }
 
-    private suspend fun respondReadiness(call: ApplicationCall) {
-        val obstacle = readiness()
-        if (obstacle == null) {
+    private suspend fun respondReady(call: ApplicationCall) {
+        val reason = unreadyReason()
+        if (reason == null) {
             call.respondText("ready\n")
         } else {
-            call.respondText("$obstacle\n", status = HttpStatusCode.ServiceUnavailable)
+            call.respondText("$reason\n", status = HttpStatusCode.ServiceUnavailable)
         }
     }
 
-    /** The filter chains of the callers' interfaces, each ending in its handler. */
-    internal class Chains(
+    /** The handler of each endpoint, wrapped in its filters. */
+    internal class HandlerChains(
         val generation: suspend (Exchange) -> Reply,
         val resume: suspend (Exchange) -> Reply,
         val call: suspend (Exchange) -> Reply,
@@ -96,6 +100,6 @@
 
     private companion object {
         const val STOP_TIMEOUT_MILLIS = 500L
-        val idPattern = Regex("[A-Za-z0-9._-]{1,128}")
+        val requestIdPattern = Regex("[A-Za-z0-9._-]{1,128}")
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/DaemonMetrics.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/DaemonMetrics.kt
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * The metrics of the request path. Labels are the kind of request, the result code and the service; services are
- * bounded by the accepted documents. Workspaces are no label, because callers choose their names.
+ * The metrics of the request path, labelled by kind of request, result code and service. The accepted documents bound
+ * the number of services. Workspace is not a label: callers choose the names, so its cardinality is unbounded.
  */
 internal class DaemonMetrics(
     private val registry: MeterRegistry,
@@ -29,15 +29,15 @@
         if (exchange.kind == Exchange.Kind.GENERATION) recordGeneration(exchange, service)
     }
 
-    /** Shows the current value of [read] as the gauge [name]. */
+    /** Registers the gauge [name], which reports the result of [currentValue]. */
     fun gauge(
         name: String,
-        read: () -> Number,
+        currentValue: () -> Number,
     ) {
-        Gauge.builder(name, read).register(registry)
+        Gauge.builder(name, currentValue).register(registry)
     }
 
-    /** Counts one event named [name]. */
+    /** Increments the counter [name]. */
     fun count(name: String) {
         registry.counter(name).increment()
     }
@@ -46,11 +46,11 @@
         exchange: Exchange,
         service: String,
     ) {
-        val record = exchange.record
-        counter("sequoiawheel.tokens", service).increment(record.tokens.toDouble())
-        timer("sequoiawheel.queue", service, exchange).record(record.queueMillis, TimeUnit.MILLISECONDS)
-        timer("sequoiawheel.stall", service, exchange).record(record.stallMillis, TimeUnit.MILLISECONDS)
-        record.firstTokenMillis?.let {
+        val statistics = exchange.statistics
+        counter("sequoiawheel.tokens", service).increment(statistics.tokens.toDouble())
+        timer("sequoiawheel.queue", service, exchange).record(statistics.queueMillis, TimeUnit.MILLISECONDS)
+        timer("sequoiawheel.stall", service, exchange).record(statistics.stallMillis, TimeUnit.MILLISECONDS)
+        statistics.firstTokenMillis?.let {
             timer("sequoiawheel.first.token", service, exchange).record(it, TimeUnit.MILLISECONDS)
         }
     }
@@ -70,15 +70,15 @@
             .builder(name)
             .tags("service", service, "kind", exchange.kind.label)
             .publishPercentileHistogram()
-            .minimumExpectedValue(SHORTEST)
-            .maximumExpectedValue(LONGEST)
+            .minimumExpectedValue(SHORTEST_BUCKET)
+            .maximumExpectedValue(LONGEST_BUCKET)
             .register(registry)
 
     private companion object {
         const val NO_SERVICE = "none"
 
-        // The bounds keep the number of buckets of each timer low; the targets of 61 and 540 ms lie well within.
-        val SHORTEST: Duration = Duration.ofMillis(5)
-        val LONGEST: Duration = Duration.ofMinutes(2)
+        // The range limits the number of buckets per timer; the latency targets of 61 and 540 ms lie well within it.
+        val SHORTEST_BUCKET: Duration = Duration.ofMillis(5)
+        val LONGEST_BUCKET: Duration = Duration.ofMinutes(2)
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/Documents.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/Documents.kt
@@ -3,9 +3,9 @@
 import io.sequoiawheel.core.model.ServiceDocument
 import io.sequoiawheel.core.model.ServiceName
 
-/** The accepted documents that are in force at this instance. Implementations are thread-safe. */
+/** Looks up the service documents in force at this instance. Implementations are thread-safe. */
 internal interface Documents {
-    /** Whether any configuration has been learned. */
+    /** Whether this instance has received a configuration. */
     val isKnown: Boolean
 
     /** Returns the document of [service], or null if there is none or it was deleted. */
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/Exchange.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/Exchange.kt
@@ -7,7 +7,7 @@
 import io.sequoiawheel.core.model.ServiceName
 import io.sequoiawheel.core.model.WorkspaceName
 
-/** One request on its way through the filters. Each filter fills in what it establishes; one coroutine at a time. */
+/** The state of one request, filled in by the filters. Not thread-safe; used by one coroutine at a time. */
 internal class Exchange(
     val call: ApplicationCall,
     val kind: Kind,
@@ -18,27 +18,27 @@
         private set
 
     var workspace: WorkspaceName
-        get() = checkNotNull(workspaceOrNull) { "the workspace is not identified yet" }
+        get() = checkNotNull(workspaceOrNull) { "the workspace has not been identified yet" }
         set(value) {
             workspaceOrNull = value
         }
 
-    /** Whether the request came before the instance began to leave. */
+    /** Whether the request arrived before the instance started to shut down. */
     var isAdmitted = false
 
     lateinit var document: ServiceDocument
     lateinit var policy: ServiceDocument.WorkspacePolicy
 
-    /** Reading of the monotonic clock that the caller set as its deadline, or null. */
+    /** Deadline set by the caller, as a reading of the monotonic clock, or null if it set none. */
     var callerDeadlineMillis: Long? = null
 
     /** The service in the path or in the resume handle, once known to exist. */
     val service: ServiceName? get() = if (::document.isInitialized) document.service else null
 
-    /** What the request did, for its log line and the metrics. */
-    val record = Record()
+    /** Figures of the request for its log line and the metrics. */
+    val statistics = Statistics()
 
-    /** The interfaces of the callers. */
+    /** The endpoints for callers. */
     enum class Kind(
         val label: String,
     ) {
@@ -48,8 +48,8 @@
         OUTCOME("outcome"),
     }
 
-    /** Figures of one request. */
-    class Record {
+    /** Replica, tokens, attempts and times of one request. */
+    class Statistics {
         var replica: InstanceId? = null
         var tokens = 0
         var stallMillis = 0L
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/Filters.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/Filters.kt
@@ -1,7 +1,7 @@
 /*
- * The filters of the request path, in their order: limits, workspace, deadline, service, and the limit of concurrent
- * requests. Queueing, claims, the choice of a replica, dispatch and relay follow in the handlers. The gate of a leaving
- * instance and accounting enclose all of them.
+ * The filters of the request path, in the order in which they run: header limit, workspace, deadline, service and the
+ * limit on concurrent requests. The handlers then queue and claim the request, choose a replica, dispatch and relay.
+ * The filters for shutdown, responses and request logging wrap all of these.
  */
 package io.sequoiawheel.daemon.http
 
@@ -13,7 +13,7 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.AtomicInteger
 
-/** Refuses requests with more header bytes than [maximumBytes]. */
+/** Rejects requests whose header names and values exceed [maximumBytes]. */
 internal class HeaderLimitFilter(
     private val maximumBytes: Int,
 ) : RequestFilter {
@@ -26,12 +26,12 @@
                 .entries()
                 .sumOf { (name, values) -> values.sumOf { name.length + it.length } }
         if (bytes <= maximumBytes) return next(exchange)
-        val detail = "the headers may have at most $maximumBytes bytes"
+        val detail = "the headers exceed the limit of $maximumBytes bytes"
         return Reply.Refusal(Failure(ResultCode.BODY_TOO_LARGE, detail))
     }
 }
 
-/** Identifies the workspace. */
+/** Reads the workspace from the `X-Workspace` header. */
 internal object WorkspaceFilter : RequestFilter {
     private const val HEADER = "X-Workspace"
     private val pattern = Regex("[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
@@ -47,7 +47,7 @@
     }
 }
 
-/** Looks up the accepted document of the service in the path. */
+/** Looks up the document of the service in the path and the policy of the workspace. */
 internal class ServiceFilter(
     private val documents: Documents,
 ) : RequestFilter {
@@ -74,7 +74,7 @@
     }
 }
 
-/** Reads the caller's deadline. */
+/** Reads the caller's deadline from the `X-Deadline-Millis` header. */
 internal class DeadlineFilter(
     private val clock: Clock,
 ) : RequestFilter {
@@ -82,10 +82,10 @@
         exchange: Exchange,
         next: suspend (Exchange) -> Reply,
     ): Reply {
-        val text = exchange.call.request.headers[HEADER] ?: return next(exchange)
-        val millis = text.toLongOrNull()?.coerceAtMost(MAXIMUM_MILLIS)
+        val header = exchange.call.request.headers[HEADER] ?: return next(exchange)
+        val millis = header.toLongOrNull()?.coerceAtMost(MAXIMUM_MILLIS)
         if (millis == null || millis < 0) {
-            return Reply.Refusal(RequestReader.invalid("$HEADER must be a whole number of milliseconds"))
+            return Reply.Refusal(RequestReader.invalidRequest("$HEADER must be a whole number of milliseconds"))
         }
         if (millis == 0L) return Reply.Refusal(Failure(ResultCode.DEADLINE_BEFORE_DISPATCH))
         exchange.callerDeadlineMillis = clock.nowMillis() + millis
@@ -98,45 +98,45 @@
     }
 }
 
-/** Bounds the requests in progress of each workspace at each service, and of the whole instance. */
+/** Limits the requests in progress per workspace and service, and on the instance as a whole. */
 internal class ConcurrencyFilter(
     private val maximumRequests: Int,
 ) : RequestFilter {
-    private val counts = ConcurrentHashMap<Pair<ServiceName, WorkspaceName>, Int>()
-    private val total = AtomicInteger()
+    private val requestsInProgress = ConcurrentHashMap<Pair<ServiceName, WorkspaceName>, Int>()
+    private val totalInProgress = AtomicInteger()
 
     override suspend fun handle(
         exchange: Exchange,
         next: suspend (Exchange) -> Reply,
     ): Reply {
         val key = exchange.document.service to exchange.workspace
-        if (!enter(key, exchange.policy.maximumConcurrent)) return refuse(ResultCode.WORKSPACE_LIMIT)
+        if (!tryAcquire(key, exchange.policy.maximumConcurrent)) return reject(ResultCode.WORKSPACE_LIMIT)
         try {
-            if (total.incrementAndGet() > maximumRequests) return refuse(ResultCode.QUEUE_FULL)
+            if (totalInProgress.incrementAndGet() > maximumRequests) return reject(ResultCode.QUEUE_FULL)
             return next(exchange)
         } finally {
-            total.decrementAndGet()
-            counts.computeIfPresent(key) { _, count -> if (count == 1) null else count - 1 }
+            totalInProgress.decrementAndGet()
+            requestsInProgress.computeIfPresent(key) { _, count -> if (count == 1) null else count - 1 }
         }
     }
 
-    private fun enter(
+    private fun tryAcquire(
         key: Pair<ServiceName, WorkspaceName>,
         limit: Int,
     ): Boolean {
-        var entered = false
-        counts.compute(key) { _, old ->
+        var acquired = false
+        requestsInProgress.compute(key) { _, old ->
             val count = old ?: 0
-            entered = count < limit
-            if (entered) count + 1 else old
+            acquired = count < limit
+            if (acquired) count + 1 else old
         }
-        return entered
+        return acquired
     }
 
-    private fun refuse(code: ResultCode) = Reply.Refusal(Failure(code, retryAfterMillis = RETRY_AFTER_MILLIS))
+    private fun reject(code: ResultCode) = Reply.Refusal(Failure(code, retryAfterMillis = RETRY_AFTER_MILLIS))
 
     private companion object {
-        // Requests at a limit end one by one; a caller that returns within a second meets a free place early.
+        // Requests at a limit end one by one; a caller that retries within a second finds freed capacity early.
         const val RETRY_AFTER_MILLIS = 1_000L
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/GenerationHandler.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/GenerationHandler.kt
@@ -14,7 +14,7 @@
 import io.sequoiawheel.core.stream.ResumeHandle
 import io.sequoiawheel.core.stream.ResumeHandleCodec
 
-/** Serves new generations. */
+/** Handles requests for new generations. */
 internal class GenerationHandler(
     private val runner: GenerationRunner,
     private val handles: ResumeHandleCodec,
@@ -23,31 +23,31 @@
     private val wholeAnswerBytes: Int,
 ) {
     suspend fun handle(exchange: Exchange): Reply {
-        val text = reader.text(exchange.call).getOrElse { return Reply.Refusal(it) }
+        val text = reader.readBody(exchange.call).getOrElse { return Reply.Refusal(it) }
         val body =
             RequestReader
                 .parse(WireBodies.GenerationBody.serializer(), text)
                 .getOrElse { return Reply.Refusal(it) }
-        val demand = demandOf(exchange, body).getOrElse { return Reply.Refusal(it) }
+        val demand = createDemand(exchange, body).getOrElse { return Reply.Refusal(it) }
         val delivery = body.delivery ?: exchange.document.delivery
-        return if (delivery == ServiceDocument.Delivery.WHOLE) whole(exchange, demand) else stream(exchange, demand)
+        return if (delivery == ServiceDocument.Delivery.WHOLE) buffer(exchange, demand) else stream(exchange, demand)
     }
 
-    private fun demandOf(
+    private fun createDemand(
         exchange: Exchange,
         body: WireBodies.GenerationBody,
     ): Either<Failure, Demand> {
         val document = exchange.document
-        val failure = modelFailure(document, body) ?: sizeFailure(body)
+        val failure = validateModel(document, body) ?: validateLimits(body)
         if (failure != null) return failure.left()
-        val end = clock.nowMillis() + document.deadlines.totalMillis
-        return priorityOf(exchange).map { priority ->
+        val documentDeadlineMillis = clock.nowMillis() + document.deadlines.totalMillis
+        return readPriority(exchange).map { priority ->
             Demand(
                 requestId = exchange.requestId,
                 workspace = exchange.workspace,
                 document = document,
                 requestKind = body.kind,
-                deadlineMillis = minOf(end, exchange.callerDeadlineMillis ?: end),
+                deadlineMillis = minOf(documentDeadlineMillis, exchange.callerDeadlineMillis ?: documentDeadlineMillis),
                 model = body.model,
                 adapter = body.adapter,
                 prompt = body.prompt,
@@ -58,7 +58,7 @@
         }
     }
 
-    private fun modelFailure(
+    private fun validateModel(
         document: ServiceDocument,
         body: WireBodies.GenerationBody,
     ): Failure? {
@@ -67,33 +67,35 @@
         return if (model == null || !adapterKnown) Failure(ResultCode.UNKNOWN_MODEL) else null
     }
 
-    private fun sizeFailure(body: WireBodies.GenerationBody): Failure? =
+    private fun validateLimits(body: WireBodies.GenerationBody): Failure? =
         when {
-            body.maxTokens < 1 -> RequestReader.invalid("$.maxTokens: must be 1 or more")
+            body.maxTokens < 1 -> RequestReader.invalidRequest("$.maxTokens: must be 1 or more")
             body.kind.length > MAXIMUM_KIND_LENGTH ->
-                RequestReader.invalid("$.kind: must have at most $MAXIMUM_KIND_LENGTH characters")
+                RequestReader.invalidRequest("$.kind: must have at most $MAXIMUM_KIND_LENGTH characters")
             else -> null
         }
 
-    // A caller may lower its workspace's priority, never raise it.
-    private fun priorityOf(exchange: Exchange): Either<Failure, Int> {
-        val text = exchange.call.request.headers[PRIORITY_HEADER] ?: return exchange.policy.priority.right()
-        val asked = text.toIntOrNull() ?: return RequestReader.invalid("$PRIORITY_HEADER must be a number").left()
-        return minOf(asked, exchange.policy.priority).right()
+    // A caller may lower the priority of its workspace but not raise it.
+    private fun readPriority(exchange: Exchange): Either<Failure, Int> {
+        val header = exchange.call.request.headers[PRIORITY_HEADER] ?: return exchange.policy.priority.right()
+        val requestedPriority =
+            header.toIntOrNull()
+                ?: return RequestReader.invalidRequest("$PRIORITY_HEADER must be an integer").left()
+        return minOf(requestedPriority, exchange.policy.priority).right()
     }
 
-    private suspend fun whole(
+    private suspend fun buffer(
         exchange: Exchange,
         demand: Demand,
     ): Reply {
-        val sink = WholeSink(wholeAnswerBytes) { noteFirstToken(exchange) }
+        val sink = BufferingSink(wholeAnswerBytes) { recordFirstToken(exchange) }
         val outcome =
             try {
                 runner.run(demand, sink)
             } catch (error: AnswerTooLargeException) {
                 return Reply.Refusal(Failure(ResultCode.STREAM_INTERRUPTED, error.message.orEmpty()))
             }
-        note(exchange, outcome)
+        recordOutcome(exchange, outcome)
         outcome.failure?.let { return Reply.Refusal(it) }
         val answer =
             WireBodies.WholeAnswer(outcome.code.number, exchange.requestId.value, outcome.tokens, sink.text)
@@ -117,20 +119,20 @@
                         )
                     acceptedEvent(exchange, handles.encode(handle))
                 },
-                onFirstToken = { noteFirstToken(exchange) },
+                onFirstToken = { recordFirstToken(exchange) },
             )
-        return StreamResponse.run(exchange, sink) { runner.run(demand, sink).also { note(exchange, it) } }
+        return StreamResponse.run(exchange, sink) { runner.run(demand, sink).also { recordOutcome(exchange, it) } }
     }
 
-    private fun noteFirstToken(exchange: Exchange) {
-        exchange.record.firstTokenMillis = clock.nowMillis() - exchange.startedMillis
+    private fun recordFirstToken(exchange: Exchange) {
+        exchange.statistics.firstTokenMillis = clock.nowMillis() - exchange.startedMillis
     }
 
     internal companion object {
         const val PRIORITY_HEADER = "X-Priority"
         private const val MAXIMUM_KIND_LENGTH = 64
 
-        // English text has about four characters per token; engines report the true number with their load.
+        // English text has about four characters per token; engines report the actual number with their load.
         private const val CHARACTERS_PER_TOKEN = 4
 
         fun acceptedEvent(
@@ -139,18 +141,18 @@
         ): String {
             val accepted = WireBodies.Accepted(exchange.requestId.value, handle)
             val json = WireBodies.json.encodeToString(WireBodies.Accepted.serializer(), accepted)
-            return TokenEvents.event("accepted", json)
+            return ServerSentEvents.event("accepted", json)
         }
 
-        fun note(
+        fun recordOutcome(
             exchange: Exchange,
             outcome: GenerationOutcome,
         ) {
-            exchange.record.replica = outcome.replica
-            exchange.record.tokens = outcome.tokens
-            exchange.record.stallMillis = outcome.stallMillis
-            exchange.record.queueMillis = outcome.queueMillis
-            exchange.record.attempts = outcome.attempts
+            exchange.statistics.replica = outcome.replica
+            exchange.statistics.tokens = outcome.tokens
+            exchange.statistics.stallMillis = outcome.stallMillis
+            exchange.statistics.queueMillis = outcome.queueMillis
+            exchange.statistics.attempts = outcome.attempts
         }
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/RequestFilter.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/RequestFilter.kt
@@ -1,6 +1,6 @@
 package io.sequoiawheel.daemon.http
 
-/** One step of the request path. It answers itself or calls the next step. */
+/** A step of the request path that either replies itself or calls the next step. */
 internal fun interface RequestFilter {
     suspend fun handle(
         exchange: Exchange,
@@ -8,6 +8,6 @@
     ): Reply
 }
 
-/** Returns the handler that runs these filters in order before [handler]. */
-internal fun List<RequestFilter>.before(handler: suspend (Exchange) -> Reply): suspend (Exchange) -> Reply =
+/** Returns a handler that runs these filters in order, followed by [handler]. */
+internal fun List<RequestFilter>.wrap(handler: suspend (Exchange) -> Reply): suspend (Exchange) -> Reply =
     foldRight(handler) { filter, next -> { exchange -> filter.handle(exchange, next) } }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/AccountFilter.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/RequestLogFilter.kt
@@ -6,8 +6,8 @@
 import io.sequoiawheel.core.model.ResultCode
 import kotlinx.coroutines.CancellationException
 
-/** Writes one log line and the metrics of each request, and answers unexpected errors with `INTERNAL_ERROR`. */
-internal class AccountFilter(
+/** Logs each request, records its metrics and turns uncaught exceptions into `INTERNAL_ERROR`. */
+internal class RequestLogFilter(
     private val metrics: DaemonMetrics,
     private val clock: Clock,
 ) : RequestFilter {
@@ -19,17 +19,17 @@
             try {
                 next(exchange)
             } catch (error: CancellationException) {
-                account(exchange, ResultCode.CANCELLED)
+                recordRequest(exchange, ResultCode.CANCELLED)
                 throw error
             } catch (error: Exception) {
                 logger.error(error) { "request ${exchange.requestId} failed" }
                 Reply.Refusal(Failure(ResultCode.INTERNAL_ERROR))
             }
-        account(exchange, reply.code)
+        recordRequest(exchange, reply.code)
         return reply
     }
 
-    private fun account(
+    private fun recordRequest(
         exchange: Exchange,
         code: ResultCode,
     ) {
@@ -46,20 +46,20 @@
         code: ResultCode,
         elapsedMillis: Long,
     ): Map<String, Any?> {
-        val record = exchange.record
+        val statistics = exchange.statistics
         return mapOf(
             "requestId" to exchange.requestId.value,
             "kind" to exchange.kind.label,
             "workspace" to exchange.workspaceOrNull?.value,
             "service" to exchange.service?.value,
-            "replica" to record.replica?.value,
+            "replica" to statistics.replica?.value,
             "code" to code.number,
             "name" to code.name,
-            "tokens" to record.tokens,
-            "attempts" to record.attempts,
-            "queueMillis" to record.queueMillis,
-            "firstTokenMillis" to record.firstTokenMillis,
-            "stallMillis" to record.stallMillis,
+            "tokens" to statistics.tokens,
+            "attempts" to statistics.attempts,
+            "queueMillis" to statistics.queueMillis,
+            "firstTokenMillis" to statistics.firstTokenMillis,
+            "stallMillis" to statistics.stallMillis,
             "elapsedMillis" to elapsedMillis,
         )
     }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/RequestReader.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/RequestReader.kt
@@ -13,22 +13,23 @@
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.JsonElement
 
-/** Reads request bodies within their limit. */
+/** Reads request bodies of at most [maximumBytes] and parses JSON. */
 internal class RequestReader(
     private val maximumBytes: Int,
 ) {
     /** Returns the body as text, or `BODY_TOO_LARGE`. */
-    suspend fun text(call: ApplicationCall): Either<Failure, String> {
-        val declared = call.request.headers["Content-Length"]?.toLongOrNull() ?: 0
-        if (declared > maximumBytes) return tooLarge()
+    suspend fun readBody(call: ApplicationCall): Either<Failure, String> {
+        val contentLength = call.request.headers["Content-Length"]?.toLongOrNull() ?: 0
+        if (contentLength > maximumBytes) return bodyTooLarge()
         val bytes = call.receiveChannel().readRemaining(maximumBytes + 1L).readByteArray()
-        return if (bytes.size > maximumBytes) tooLarge() else bytes.decodeToString().right()
+        return if (bytes.size > maximumBytes) bodyTooLarge() else bytes.decodeToString().right()
     }
 
-    private fun tooLarge() = Failure(ResultCode.BODY_TOO_LARGE, "the body may have at most $maximumBytes bytes").left()
+    private fun bodyTooLarge() =
+        Failure(ResultCode.BODY_TOO_LARGE, "the body exceeds the limit of $maximumBytes bytes").left()
 
     companion object {
-        /** Returns the value in [text], or `INVALID_REQUEST`. */
+        /** Decodes the JSON in [text], or returns `INVALID_REQUEST`. */
         fun <T> parse(
             serializer: KSerializer<T>,
             text: String,
@@ -36,16 +37,16 @@
             try {
                 WireBodies.json.decodeFromString(serializer, text).right()
             } catch (error: SerializationException) {
-                invalid(firstLine(error)).left()
+                invalidRequest(firstLine(error)).left()
             } catch (error: IllegalArgumentException) {
-                invalid(firstLine(error)).left()
+                invalidRequest(firstLine(error)).left()
             }
 
-        /** Returns [text] as JSON, or `INVALID_REQUEST`. */
-        fun json(text: String): Either<Failure, JsonElement> = parse(JsonElement.serializer(), text)
+        /** Parses [text] as JSON, or returns `INVALID_REQUEST`. */
+        fun parseJson(text: String): Either<Failure, JsonElement> = parse(JsonElement.serializer(), text)
 
         /** Returns the failure for a malformed request. */
-        fun invalid(detail: String) = Failure(ResultCode.INVALID_REQUEST, detail)
+        fun invalidRequest(detail: String) = Failure(ResultCode.INVALID_REQUEST, detail)
 
         private fun firstLine(error: Exception) =
             error.message
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/RespondFilter.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/ResponseFilter.kt
@@ -5,8 +5,8 @@
 import io.ktor.server.response.header
 import io.ktor.server.response.respondText
 
-/** Sends replies that were not streamed. */
-internal object RespondFilter : RequestFilter {
+/** Sends the replies that are not already sent as streams. */
+internal object ResponseFilter : RequestFilter {
     private const val MILLIS_PER_SECOND = 1_000L
 
     override suspend fun handle(
@@ -16,22 +16,22 @@
         val reply = next(exchange)
         when (reply) {
             is Reply.Json -> send(exchange, reply.code.httpStatus, reply.body)
-            is Reply.Refusal -> refuse(exchange, reply)
+            is Reply.Refusal -> sendFailure(exchange, reply)
             is Reply.Streamed -> Unit
         }
         return reply
     }
 
-    private suspend fun refuse(
+    private suspend fun sendFailure(
         exchange: Exchange,
         reply: Reply.Refusal,
     ) {
         reply.failure.retryAfterMillis?.let { millis ->
-            // Retry-After knows whole seconds only; the body has the exact time.
+            // Retry-After has a resolution of one second; the body states the milliseconds.
             val seconds = (millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND
             exchange.call.response.header("Retry-After", seconds.toString())
         }
-        val body = WireBodies.error(reply.failure, exchange.requestId, exchange.record.tokens)
+        val body = WireBodies.error(reply.failure, exchange.requestId, exchange.statistics.tokens)
         send(exchange, reply.code.httpStatus, body)
     }
 
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/ResumeHandler.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/ResumeHandler.kt
@@ -16,9 +16,9 @@
 import io.sequoiawheel.core.stream.ResumeHandleCodec
 
 /**
- * Continues generations that any entry instance started.
+ * Handles requests to resume a generation, whichever entry instance started it.
  *
- * @param findReplica looks a replica up in the current instance list, leaving ones included
+ * @param findReplica looks up a replica, including leaving ones, in the current instance list
  */
 internal class ResumeHandler(
     private val runner: GenerationRunner,
@@ -28,18 +28,18 @@
 ) {
     suspend fun handle(exchange: Exchange): Reply {
         val text = exchange.call.parameters["handle"].orEmpty()
-        val target = targetOf(exchange, text).getOrElse { return Reply.Refusal(it) }
+        val target = findTarget(exchange, text).getOrElse { return Reply.Refusal(it) }
         exchange.document = target.document
-        val offset = nextOffset(exchange).getOrElse { return Reply.Refusal(it) }
+        val offset = readNextOffset(exchange).getOrElse { return Reply.Refusal(it) }
         val sink = StreamSink({ _, _ -> GenerationHandler.acceptedEvent(exchange, text) }, onFirstToken = {})
         return StreamResponse.run(exchange, sink) {
             runner
                 .resume(target.replica, target.handle.generation, offset, target.document, sink)
-                .also { GenerationHandler.note(exchange, it) }
+                .also { GenerationHandler.recordOutcome(exchange, it) }
         }
     }
 
-    private fun targetOf(
+    private fun findTarget(
         exchange: Exchange,
         text: String,
     ): Either<Failure, Target> =
@@ -57,10 +57,11 @@
         val replica: Instance,
     )
 
-    private fun nextOffset(exchange: Exchange): Either<Failure, Int> {
-        val text = exchange.call.request.headers[LAST_EVENT_HEADER] ?: return 0.right()
-        val last = text.toIntOrNull()?.takeIf { it in 0 until Int.MAX_VALUE }
-        return last?.plus(1)?.right() ?: RequestReader.invalid("$LAST_EVENT_HEADER must be an offset").left()
+    private fun readNextOffset(exchange: Exchange): Either<Failure, Int> {
+        val header = exchange.call.request.headers[LAST_EVENT_HEADER] ?: return 0.right()
+        val last = header.toIntOrNull()?.takeIf { it in 0 until Int.MAX_VALUE }
+        return last?.plus(1)?.right()
+            ?: RequestReader.invalidRequest("$LAST_EVENT_HEADER must be a token offset").left()
     }
 
     private companion object {
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/TokenEvents.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/ServerSentEvents.kt
@@ -1,21 +1,21 @@
 package io.sequoiawheel.daemon.http
 
-/** Writes server-sent events. Token events are built by hand: they are the only work that is done per token. */
-internal object TokenEvents {
+/** Formats server-sent events. Token events bypass the JSON serializer: formatting them is the only work per token. */
+internal object ServerSentEvents {
     private const val FIRST_PRINTABLE = ' '
-    private const val HEX = 16
+    private const val HEX_RADIX = 16
     private const val ESCAPE_DIGITS = 4
-    private const val OVERHEAD = 40
+    private const val EVENT_OVERHEAD = 40
 
     fun token(
         offset: Int,
         text: String,
     ): String =
-        StringBuilder(OVERHEAD + text.length)
+        StringBuilder(EVENT_OVERHEAD + text.length)
             .append("id: ")
             .append(offset)
             .append("\nevent: token\ndata: {\"text\":\"")
-            .appendJson(text)
+            .appendJsonEscaped(text)
             .append("\"}\n\n")
             .toString()
 
@@ -24,12 +24,12 @@
         json: String,
     ): String = "event: $name\ndata: $json\n\n"
 
-    private fun StringBuilder.appendJson(text: String): StringBuilder {
+    private fun StringBuilder.appendJsonEscaped(text: String): StringBuilder {
         for (character in text) {
             when {
                 character == '"' || character == '\\' -> append('\\').append(character)
                 character >= FIRST_PRINTABLE -> append(character)
-                else -> append("\\u").append(character.code.toString(HEX).padStart(ESCAPE_DIGITS, '0'))
+                else -> append("\\u").append(character.code.toString(HEX_RADIX).padStart(ESCAPE_DIGITS, '0'))
             }
         }
         return this
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/StreamResponse.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/StreamResponse.kt
@@ -14,9 +14,9 @@
 import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.selects.select
 
-/** Runs a generation and sends it as server-sent events from its first event on. */
+/** Runs a generation and streams it to the caller as server-sent events. */
 internal object StreamResponse {
-    /** Runs [generation], which writes to [sink]; a failure before the first event is returned as a refusal. */
+    /** Runs [generation], which writes to [sink]. A failure before the first event is returned as [Reply.Refusal]. */
     suspend fun run(
         exchange: Exchange,
         sink: StreamSink,
@@ -24,12 +24,12 @@
     ): Reply =
         coroutineScope {
             val outcome = async { generation() }
-            val early =
+            val earlyOutcome =
                 select {
                     sink.started.onAwait { null }
                     outcome.onAwait { it }
                 }
-            if (early != null && !sink.started.isCompleted) return@coroutineScope refusal(early)
+            if (earlyOutcome != null && !sink.started.isCompleted) return@coroutineScope refusal(earlyOutcome)
             Reply.Streamed(respond(exchange, sink, outcome))
         }
 
@@ -45,40 +45,40 @@
         try {
             exchange.call.respondBytesWriter(ContentType.Text.EventStream, HttpStatusCode.OK) {
                 sink.attach(this)
-                sendEnd(exchange, sink, outcome.await())
+                sendLastEvent(exchange, sink, outcome.await())
             }
         } catch (error: CancellationException) {
             throw error
         } catch (error: Exception) {
-            // The caller closed its connection; the outcome says how far the generation came.
-            sink.detach(error)
+            // The caller closed its connection; the outcome records how far the generation got.
+            sink.fail(error)
         }
         return outcome.await().code
     }
 
-    private suspend fun sendEnd(
+    private suspend fun sendLastEvent(
         exchange: Exchange,
         sink: StreamSink,
         outcome: GenerationOutcome,
     ) {
         if (outcome.code == ResultCode.CANCELLED) return
         try {
-            sink.finish(lastEvent(exchange, outcome))
+            sink.finish(buildLastEvent(exchange, outcome))
         } catch (error: CallerDisconnectedException) {
-            // The generation is complete and its tokens can still be resumed; nobody is left to be told.
+            // The generation is complete and can still be resumed, but no caller is connected for the last event.
             return
         }
     }
 
-    private fun lastEvent(
+    private fun buildLastEvent(
         exchange: Exchange,
         outcome: GenerationOutcome,
     ): String {
         val failure = outcome.failure
         if (failure != null) {
-            return TokenEvents.event("error", WireBodies.error(failure, exchange.requestId, outcome.tokens))
+            return ServerSentEvents.event("error", WireBodies.error(failure, exchange.requestId, outcome.tokens))
         }
         val done = WireBodies.Done(outcome.code.number, outcome.tokens)
-        return TokenEvents.event("done", WireBodies.json.encodeToString(WireBodies.Done.serializer(), done))
+        return ServerSentEvents.event("done", WireBodies.json.encodeToString(WireBodies.Done.serializer(), done))
     }
 }
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/StreamSink.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/StreamSink.kt
@@ -12,9 +12,9 @@
 import kotlinx.coroutines.ensureActive
 
 /**
- * Sends tokens to one caller as server-sent events. The response starts with the first accepted event, so that a
- * refusal before that still has its HTTP status. The channel's fixed buffer and the socket's are all that is buffered
- * for the caller.
+ * Sends tokens to one caller as server-sent events. The response starts only with the accepted event, so an earlier
+ * failure can still set the HTTP status. No data is buffered for the caller beyond the fixed buffers of the channel and
+ * the socket.
  *
  * @param acceptedEvent builds the accepted event
  */
@@ -22,20 +22,20 @@
     private val acceptedEvent: (Instance, RequestId) -> String,
     private val onFirstToken: () -> Unit,
 ) : GenerationSink {
-    /** Completed when the response has to start. */
+    /** Completed when the generation is accepted and the response must start. */
     val started = CompletableDeferred<Unit>()
     private val channel = CompletableDeferred<ByteWriteChannel>()
 
     override var delivered = false
         private set
 
-    /** Connects the sink with the response. */
+    /** Sets the channel of the response; writes wait for it. */
     fun attach(response: ByteWriteChannel) {
         channel.complete(response)
     }
 
-    /** Lets writes fail because the response ended with [error]. */
-    fun detach(error: Exception) {
+    /** Makes writes that wait for [attach] fail with [error]. */
+    fun fail(error: Exception) {
         channel.completeExceptionally(error)
     }
 
@@ -52,9 +52,9 @@
         text: String,
     ) {
         if (!delivered) onFirstToken()
-        // Set before the write: a write that fails half-way may have delivered the token.
+        // Set before the write, because a failed write may still have delivered the token.
         delivered = true
-        write(TokenEvents.token(offset, text))
+        write(ServerSentEvents.token(offset, text))
     }
 
     override fun onRestart() = Unit
@@ -64,9 +64,9 @@
 
     private suspend fun write(text: String) {
         try {
-            val target = channel.await()
-            target.writeStringUtf8(text)
-            target.flush()
+            val response = channel.await()
+            response.writeStringUtf8(text)
+            response.flush()
         } catch (error: CancellationException) {
             currentCoroutineContext().ensureActive()
             throw CallerDisconnectedException(error)
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/WireBodies.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/http/WireBodies.kt
@@ -7,9 +7,9 @@
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.JsonElement
 
-/** The JSON bodies of the callers' interface; docs/callers.md is their reference. */
+/** JSON request and response bodies of the caller API, which docs/callers.md specifies. */
 internal object WireBodies {
-    /** Refuses unknown fields, so that a misspelt limit of a pasted script is noticed. */
+    /** Rejects unknown fields, so that a misspelt limit in a request is reported instead of ignored. */
     val json =
         Json {
             encodeDefaults = true
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/settings/DaemonSettings.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/settings/DaemonSettings.kt
@@ -1,6 +1,6 @@
 /*
- * The settings of one entry daemon. A process learns its addresses, zone and region only from here. docs/settings.md is
- * the reference.
+ * The settings of an entry daemon, its only source of its own addresses, availability zone and region. The reference is
+ * docs/settings.md.
  */
 package io.sequoiawheel.daemon.settings
 
@@ -10,12 +10,12 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Settings of one entry daemon.
+ * Settings of an entry daemon.
  *
- * @property instanceId identity of this incarnation of the process; a restarted process needs a new one
- * @property listen where callers connect
- * @property peer where other entry instances connect
- * @property resumeKey secret that signs resume handles, equal at all entry instances, as base64 of at least 16 bytes
+ * @property instanceId identity of this run of the process; a restarted process needs a new one
+ * @property listen address for callers
+ * @property peer address for other entry instances
+ * @property resumeKey secret that signs resume handles, as base64 of at least 16 bytes; the same at all entry instances
  */
 @Serializable
 data class DaemonSettings(
@@ -28,7 +28,7 @@
     val resumeKey: String,
     val limits: Limits = Limits(),
 ) {
-    /** An address to listen on; [host] is an IP number and [port] 0 chooses a free port. */
+    /** An address to listen on. [host] is a numeric IP address; [port] 0 selects a free port. */
     @Serializable
     data class Endpoint(
         val host: String,
@@ -36,12 +36,12 @@
     )
 
     /**
-     * Bounds of what callers may send and of what is kept for them.
+     * Limits on the size of requests and buffered answers and on the number of requests.
      *
-     * @property bodyBytes largest request body
-     * @property headerBytes largest sum of header names and values
-     * @property wholeAnswerBytes largest generation that is kept for `whole` delivery
-     * @property requests requests in progress, waiting ones included
+     * @property bodyBytes maximum size of a request body
+     * @property headerBytes maximum total size of header names and values
+     * @property wholeAnswerBytes maximum size of a generation that is buffered for `whole` delivery
+     * @property requests maximum number of requests in progress, including queued ones
      */
     @Serializable
     data class Limits(
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/settings/JsonShape.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/settings/JsonStructureValidator.kt
@@ -15,10 +15,10 @@
 import kotlinx.serialization.json.intOrNull
 import kotlinx.serialization.json.longOrNull
 
-/** Compares JSON with the fields and types of a serializable class, and names every difference by its path. */
-internal object JsonShape {
-    /** Returns every unknown, missing or wrongly typed field of [element]. */
-    fun check(
+/** Checks that JSON has the fields and types of a serializable class. */
+internal object JsonStructureValidator {
+    /** Returns a fault with its path for each unknown, missing or mistyped field of [element]. */
+    fun validate(
         descriptor: SerialDescriptor,
         element: JsonElement,
         path: String = "$",
@@ -27,52 +27,52 @@
         return if (type.kind ==
             StructureKind.CLASS
         ) {
-            checkObject(type, element, path)
+            validateObject(type, element, path)
         } else {
-            checkValue(type, element, path)
+            validateValue(type, element, path)
         }
     }
 
-    private fun checkObject(
+    private fun validateObject(
         type: SerialDescriptor,
         element: JsonElement,
         path: String,
     ): List<DocumentFault> {
         if (element !is JsonObject) return listOf(DocumentFault(path, "must be an object"))
-        val names = type.elementNames.toList()
-        val unknown =
-            (element.keys - names.toSet()).map { key ->
-                DocumentFault("$path.$key", "unknown field; allowed are ${names.joinToString()}")
+        val fieldNames = type.elementNames.toList()
+        val unknownFaults =
+            (element.keys - fieldNames.toSet()).map { key ->
+                DocumentFault("$path.$key", "unknown field; allowed fields are ${fieldNames.joinToString()}")
             }
-        val known =
-            names.flatMapIndexed { index, name ->
-                checkField(type, index, element[name], "$path.$name")
+        val fieldFaults =
+            fieldNames.flatMapIndexed { index, name ->
+                validateField(type, index, element[name], "$path.$name")
             }
-        return unknown + known
+        return unknownFaults + fieldFaults
     }
 
-    private fun checkField(
+    private fun validateField(
         type: SerialDescriptor,
         index: Int,
         value: JsonElement?,
         path: String,
     ): List<DocumentFault> {
         val fieldType = type.elementDescriptors.elementAt(index)
-        if (value != null) return check(fieldType, value, path)
-        return if (type.isElementOptional(index)) emptyList() else listOf(DocumentFault(path, "missing field"))
+        if (value != null) return validate(fieldType, value, path)
+        return if (type.isElementOptional(index)) emptyList() else listOf(DocumentFault(path, "missing required field"))
     }
 
-    private fun checkValue(
+    private fun validateValue(
         type: SerialDescriptor,
         element: JsonElement,
         path: String,
     ): List<DocumentFault> {
-        val expected = expectation(type.kind)
-        val fits = element is JsonPrimitive && fits(type.kind, element)
-        return if (fits) emptyList() else listOf(DocumentFault(path, "must be $expected"))
+        val expected = describeType(type.kind)
+        val matches = element is JsonPrimitive && matchesKind(type.kind, element)
+        return if (matches) emptyList() else listOf(DocumentFault(path, "must be $expected"))
     }
 
-    private fun fits(
+    private fun matchesKind(
         kind: SerialKind,
         value: JsonPrimitive,
     ): Boolean =
@@ -85,7 +85,7 @@
             else -> false
         }
 
-    private fun expectation(kind: SerialKind): String =
+    private fun describeType(kind: SerialKind): String =
         when (kind) {
             PrimitiveKind.STRING -> "a string"
             PrimitiveKind.INT, PrimitiveKind.LONG -> "a whole number"
--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/settings/SettingsReader.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/settings/SettingsReader.kt
@@ -12,7 +12,7 @@
 import java.net.URI
 import java.util.Base64
 
-/** Reads settings files. Every fault is reported at once, each with the path of its field and what is allowed. */
+/** Parses and validates settings. All faults are reported together, each with its path and the allowed values. */
 object SettingsReader {
     private const val MAXIMUM_PORT = 65_535
     private const val MAXIMUM_BYTES = 1_073_741_824
@@ -20,7 +20,7 @@
     private val addressPattern = Regex("""\d{1,3}(\.\d{1,3}){3}|[0-9a-fA-F:]*:[0-9a-fA-F:.]*""")
     private val namePattern = Regex("[A-Za-z0-9]([A-Za-z0-9._-]{0,62}[A-Za-z0-9])?")
 
-    /** Returns the settings in [text], or `INVALID_SETTINGS` with all faults in its detail. */
+    /** Parses [text], or returns `INVALID_SETTINGS` with the faults in its detail. */
     fun read(text: String): Either<Failure, DaemonSettings> {
         val element =
             try {
@@ -28,8 +28,8 @@
             } catch (error: SerializationException) {
                 return failure(listOf(DocumentFault("$", "must be a JSON object: ${firstLine(error)}"))).left()
             }
-        val shapeFaults = JsonShape.check(DaemonSettings.serializer().descriptor, element)
-        if (shapeFaults.isNotEmpty()) return failure(shapeFaults).left()
+        val structureFaults = JsonStructureValidator.validate(DaemonSettings.serializer().descriptor, element)
+        if (structureFaults.isNotEmpty()) return failure(structureFaults).left()
         val settings =
             try {
                 Json.decodeFromJsonElement(DaemonSettings.serializer(), element)
@@ -51,83 +51,83 @@
 
     private fun validate(settings: DaemonSettings): List<DocumentFault> =
         buildList {
-            name(settings.instanceId.value, "$.instanceId")
-            name(settings.region, "$.region")
-            name(settings.zone.value, "$.zone")
-            endpoint(settings.listen, "$.listen")
-            endpoint(settings.peer, "$.peer")
-            platform(settings)
-            if (!isKey(settings.resumeKey)) {
-                fault("$.resumeKey", "must be base64 of at least ${ResumeHandleCodec.MINIMUM_KEY_BYTES} bytes")
+            checkName(settings.instanceId.value, "$.instanceId")
+            checkName(settings.region, "$.region")
+            checkName(settings.zone.value, "$.zone")
+            checkEndpoint(settings.listen, "$.listen")
+            checkEndpoint(settings.peer, "$.peer")
+            checkPlatform(settings)
+            if (!isValidResumeKey(settings.resumeKey)) {
+                addFault("$.resumeKey", "must be base64 of at least ${ResumeHandleCodec.MINIMUM_KEY_BYTES} bytes")
             }
-            limits(settings.limits)
+            checkLimits(settings.limits)
         }
 
-    private fun MutableList<DocumentFault>.platform(settings: DaemonSettings) {
+    private fun MutableList<DocumentFault>.checkPlatform(settings: DaemonSettings) {
         val platform = settings.platform
-        url(platform.objectApi, "$.platform.objectApi")
-        url(platform.instanceList, "$.platform.instanceList")
-        url(platform.weightStore, "$.platform.weightStore")
-        positive(platform.connectTimeoutMillis, "$.platform.connectTimeoutMillis")
-        positive(platform.requestTimeoutMillis, "$.platform.requestTimeoutMillis")
-        positive(platform.callBurst.toLong(), "$.platform.callBurst")
-        if (platform.callsPerSecond <= 0) fault("$.platform.callsPerSecond", "must be more than 0")
+        checkUrl(platform.objectApi, "$.platform.objectApi")
+        checkUrl(platform.instanceList, "$.platform.instanceList")
+        checkUrl(platform.weightStore, "$.platform.weightStore")
+        checkPositive(platform.connectTimeoutMillis, "$.platform.connectTimeoutMillis")
+        checkPositive(platform.requestTimeoutMillis, "$.platform.requestTimeoutMillis")
+        checkPositive(platform.callBurst.toLong(), "$.platform.callBurst")
+        if (platform.callsPerSecond <= 0) addFault("$.platform.callsPerSecond", "must be greater than 0")
     }
 
-    private fun MutableList<DocumentFault>.limits(limits: DaemonSettings.Limits) {
-        range(limits.bodyBytes, 1..MAXIMUM_BYTES, "$.limits.bodyBytes")
-        range(limits.headerBytes, 1..MAXIMUM_BYTES, "$.limits.headerBytes")
-        range(limits.wholeAnswerBytes, 1..MAXIMUM_BYTES, "$.limits.wholeAnswerBytes")
-        range(limits.requests, 1..MAXIMUM_REQUESTS, "$.limits.requests")
+    private fun MutableList<DocumentFault>.checkLimits(limits: DaemonSettings.Limits) {
+        checkRange(limits.bodyBytes, 1..MAXIMUM_BYTES, "$.limits.bodyBytes")
+        checkRange(limits.headerBytes, 1..MAXIMUM_BYTES, "$.limits.headerBytes")
+        checkRange(limits.wholeAnswerBytes, 1..MAXIMUM_BYTES, "$.limits.wholeAnswerBytes")
+        checkRange(limits.requests, 1..MAXIMUM_REQUESTS, "$.limits.requests")
     }
 
-    private fun MutableList<DocumentFault>.endpoint(
+    private fun MutableList<DocumentFault>.checkEndpoint(
         endpoint: DaemonSettings.Endpoint,
         path: String,
     ) {
-        if (!addressPattern.matches(endpoint.host)) fault("$path.host", "must be an IP address in numbers")
-        range(endpoint.port, 0..MAXIMUM_PORT, "$path.port")
+        if (!addressPattern.matches(endpoint.host)) addFault("$path.host", "must be a numeric IP address")
+        checkRange(endpoint.port, 0..MAXIMUM_PORT, "$path.port")
     }
 
-    private fun MutableList<DocumentFault>.name(
+    private fun MutableList<DocumentFault>.checkName(
         value: String,
         path: String,
     ) {
-        if (!namePattern.matches(value)) fault(path, "must match ${namePattern.pattern}")
+        if (!namePattern.matches(value)) addFault(path, "must match ${namePattern.pattern}")
     }
 
-    private fun MutableList<DocumentFault>.url(
+    private fun MutableList<DocumentFault>.checkUrl(
         value: String,
         path: String,
     ) {
         val uri = runCatching { URI(value) }.getOrNull()
         val valid = uri?.scheme == "http" && uri.host != null && !value.endsWith("/")
-        if (!valid) fault(path, "must be an http URL without a slash at the end")
+        if (!valid) addFault(path, "must be an http URL without a trailing slash")
     }
 
-    private fun MutableList<DocumentFault>.positive(
+    private fun MutableList<DocumentFault>.checkPositive(
         value: Long,
         path: String,
     ) {
-        if (value <= 0) fault(path, "must be more than 0")
+        if (value <= 0) addFault(path, "must be greater than 0")
     }
 
-    private fun MutableList<DocumentFault>.range(
+    private fun MutableList<DocumentFault>.checkRange(
         value: Int,
         range: IntRange,
         path: String,
     ) {
-        if (value !in range) fault(path, "must be ${range.first} to ${range.last}")
+        if (value !in range) addFault(path, "must be ${range.first} to ${range.last}")
     }
 
-    private fun MutableList<DocumentFault>.fault(
+    private fun MutableList<DocumentFault>.addFault(
         path: String,
         problem: String,
     ) {
         add(DocumentFault(path, problem))
     }
 
-    private fun isKey(text: String): Boolean {
+    private fun isValidResumeKey(text: String): Boolean {
         val key = runCatching { Base64.getDecoder().decode(text) }.getOrNull() ?: return false
         return key.size >= ResumeHandleCodec.MINIMUM_KEY_BYTES
     }
--- a/daemon/src/test/kotlin/io/sequoiawheel/daemon/CallPathTest.kt
+++ b/daemon/src/test/kotlin/io/sequoiawheel/daemon/CallPathTest.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test
 
 class CallPathTest {
-    private fun deployed(
+    private fun withDeployment(
         daemons: Int = 1,
         block: suspend Deployment.() -> Unit,
     ) = runBlocking {
@@ -27,7 +27,7 @@
         }
     }
 
-    private suspend fun Deployment.pledge(
+    private suspend fun Deployment.sendPledge(
         daemon: Int,
         key: String,
         body: String = """{"amount":5}""",
@@ -38,75 +38,75 @@
         body,
     ) { header("Idempotency-Key", key) }.bodyAsText()
 
-    /** Guards against a call that is billed twice when its caller repeats it at another instance (P6). */
+    /** Guards against a call that runs twice when its caller retries it at another instance (P6). */
     @Test
-    fun `one key runs once at two instances`() =
-        deployed(daemons = 2) {
+    fun `concurrent calls with one key at two instances run once`() =
+        withDeployment(daemons = 2) {
             plain.durationMillis = 200
             val answers =
-                coroutineScope { List(6) { index -> async { pledge(index % 2, "key-1") } }.awaitAll() }
+                coroutineScope { List(6) { index -> async { sendPledge(index % 2, "key-1") } }.awaitAll() }
             assertEquals(1, plain.runs.get())
             val allowed = setOf(ResultCode.OK, ResultCode.IN_PROGRESS, ResultCode.OK_RECORDED)
             answers.forEach { answer -> assertTrue(allowed.any { "\"code\":${it.number}" in answer }, answer) }
             val recorded =
                 withTimeout(5_000) {
-                    var answer = pledge(1, "key-1")
+                    var answer = sendPledge(1, "key-1")
                     while ("\"code\":1001" !in answer) {
                         delay(50)
-                        answer = pledge(1, "key-1")
+                        answer = sendPledge(1, "key-1")
                     }
                     answer
                 }
             assertTrue("\"amount\":5" in recorded, recorded)
-            assertTrue("IDEMPOTENCY_KEY_REUSED" in pledge(0, "key-1", """{"amount":6}"""))
+            assertTrue("IDEMPOTENCY_KEY_REUSED" in sendPledge(0, "key-1", """{"amount":6}"""))
             assertEquals(1, plain.runs.get())
         }
 
-    /** Guards against a call that runs without a claim, or a refusal that claims too little, in an outage (P5, P6). */
+    /** Guards against an unclaimed run in an outage, or a rejection that does not state that nothing ran (P5, P6). */
     @Test
-    fun `without the platform calls that may not repeat are refused and others run`() =
-        deployed {
-            platform.down = true
-            val refused = pledge(0, "key-2")
+    fun `a platform outage rejects non-idempotent calls and lets idempotent ones run`() =
+        withDeployment {
+            platform.isUnavailable = true
+            val refused = sendPledge(0, "key-2")
             assertTrue("CLAIM_STORE_UNAVAILABLE" in refused && "\"work\":\"not run\"" in refused, refused)
             val lookup = send(0, HttpMethod.Post, "${Deployment.CALLS}/lookup", "{}")
             assertEquals(200, lookup.status.value)
             assertEquals(1, plain.runs.get())
         }
 
-    /** Guards against an answer that belongs to another request (P4), and a second run of the call behind it (P6). */
+    /** Guards against an answer delivered to the wrong request (P4) and a second run of the mismatched call (P6). */
     @Test
-    fun `an answer for another request is never handed on`() =
-        deployed {
-            plain.crossesAnswers = true
-            val answer = pledge(0, "key-3")
+    fun `an answer for another request is not returned to the caller`() =
+        withDeployment {
+            plain.returnsOtherRequestId = true
+            val answer = sendPledge(0, "key-3")
             assertTrue("ANSWER_MISMATCH" in answer && "\"work\":\"unknown\"" in answer, answer)
             assertEquals(1, plain.runs.get())
             delay(300)
-            plain.crossesAnswers = false
-            assertTrue("OUTCOME_UNKNOWN" in pledge(0, "key-3"))
+            plain.returnsOtherRequestId = false
+            assertTrue("OUTCOME_UNKNOWN" in sendPledge(0, "key-3"))
             assertEquals(1, plain.runs.get())
         }
 
-    /** Guards against a cut answer that is handed on as the whole one (P4), or runs the call again (P6). */
+    /** Guards against a truncated answer that is returned as complete (P4) or makes the call run again (P6). */
     @Test
-    fun `an answer that breaks off is never handed on as whole`() =
-        deployed {
+    fun `a truncated answer is not returned as complete`() =
+        withDeployment {
             plain.truncatesAnswers = true
-            val answer = pledge(0, "key-5")
+            val answer = sendPledge(0, "key-5")
             assertTrue("\"work\":\"unknown\"" in answer, answer)
             assertEquals(1, plain.runs.get())
         }
 
-    /** Guards against a key that stays claimed although the backend server proved that nothing ran. */
+    /** Guards against a key that stays claimed although the backend server proved that the call did not run. */
     @Test
-    fun `a call that did not run can be sent again with its key`() =
-        deployed {
-            plain.refuses = true
-            assertTrue("\"work\":\"not run\"" in pledge(0, "key-4"))
-            plain.refuses = false
+    fun `a call that did not run can be retried with its key`() =
+        withDeployment {
+            plain.rejectsCalls = true
+            assertTrue("\"work\":\"not run\"" in sendPledge(0, "key-4"))
+            plain.rejectsCalls = false
             delay(300)
-            assertTrue("\"code\":1000" in pledge(0, "key-4"))
+            assertTrue("\"code\":1000" in sendPledge(0, "key-4"))
             assertEquals(1, plain.runs.get())
         }
 }
--- a/daemon/src/test/kotlin/io/sequoiawheel/daemon/Deployment.kt
+++ b/daemon/src/test/kotlin/io/sequoiawheel/daemon/Deployment.kt
@@ -24,7 +24,7 @@
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
 
-/** A platform, one engine, one plain service and some entry daemons, all in this process. */
+/** A fake platform, engine and plain service with [daemonCount] entry daemons, all in this process. */
 class Deployment(
     private val daemonCount: Int = 1,
     gapMillis: Long = 5,
@@ -39,17 +39,17 @@
         listOf(platform.server, engine.server, plain.server).forEach { it.start() }
         platform.put(writers)
         platform.put(desk)
-        backend("engine-1", writers.service, engine.server.address)
-        backend("plain-1", desk.service, plain.server.address)
+        registerBackend("engine-1", writers.service, engine.server.address)
+        registerBackend("plain-1", desk.service, plain.server.address)
         repeat(daemonCount) { index ->
             val daemon = EntryDaemon(settings("entry-$index"))
             check(daemon.start().isRight()) { "the daemon did not start" }
             daemons += daemon
         }
-        daemons.indices.forEach { awaitServing(it) }
+        daemons.indices.forEach { awaitReady(it) }
     }
 
-    fun backend(
+    fun registerBackend(
         id: String,
         service: ServiceName,
         address: String,
@@ -73,7 +73,7 @@
             configure()
         }
 
-    /** Reads events of a stream until [limit] token events came or it ends; then closes the connection. */
+    /** Reads a stream until it ends or [limit] token events have arrived, then closes the connection. */
     suspend fun stream(
         daemon: Int,
         method: HttpMethod,
@@ -113,7 +113,7 @@
         listOf(platform.server, engine.server, plain.server).forEach { it.stop() }
     }
 
-    private suspend fun awaitServing(daemon: Int) =
+    private suspend fun awaitReady(daemon: Int) =
         withTimeout(30_000) {
             while (send(daemon, HttpMethod.Get, "/ready").status.value != 200) delay(50)
             while (send(daemon, HttpMethod.Post, GENERATIONS, generation(1)).status.value != 200) delay(50)
@@ -132,7 +132,7 @@
         )
     }
 
-    /** One server-sent event. */
+    /** A server-sent event. */
     class Event(
         val id: Int?,
         val name: String,
--- a/daemon/src/test/kotlin/io/sequoiawheel/daemon/FakeEngine.kt
+++ b/daemon/src/test/kotlin/io/sequoiawheel/daemon/FakeEngine.kt
@@ -31,13 +31,13 @@
     private val readers = ConcurrentHashMap<String, Int>()
     private val generations = ConcurrentHashMap<String, Generation>()
 
-    /** The first connection of a generation falls silent before the token with this offset. */
+    /** Offset of the token before which the first connection of a generation stalls. */
     @Volatile
-    var silentAt = Int.MAX_VALUE
+    var stallOffset = Int.MAX_VALUE
 
-    /** Whether new generations are refused with a proof that they did not run. */
+    /** Whether new generations are rejected with a proof that they did not run. */
     @Volatile
-    var refuses = false
+    var rejectsGenerations = false
     val started = AtomicInteger()
     val cancelled = ConcurrentHashMap.newKeySet<String>()
 
@@ -55,13 +55,13 @@
     private suspend fun start(call: ApplicationCall) {
         val body = Json.parseToJsonElement(call.receiveText()).jsonObject
         val id = body.getValue("id").jsonPrimitive.content
-        if (refuses) {
+        if (rejectsGenerations) {
             call.response.headers.append("X-Not-Run", id)
             return call.respondText("{}", status = HttpStatusCode.ServiceUnavailable)
         }
         started.incrementAndGet()
         generations[id] = Generation(body.getValue("maxTokens").jsonPrimitive.int)
-        send(call, id, 0, silentAt)
+        send(call, id, 0, stallOffset)
     }
 
     private suspend fun resume(call: ApplicationCall) {
@@ -72,8 +72,8 @@
 
     private suspend fun cancel(call: ApplicationCall) {
         val id = call.parameters["id"].orEmpty()
-        val isRead = readers.getOrDefault(id, 0) > 0
-        if (isRead && call.request.queryParameters["unattended"] == "true") {
+        val hasReaders = readers.getOrDefault(id, 0) > 0
+        if (hasReaders && call.request.queryParameters["unattended"] == "true") {
             return call.respondText("{}", status = HttpStatusCode.Conflict)
         }
         cancelled += id
@@ -85,10 +85,10 @@
         call: ApplicationCall,
         id: String,
         from: Int,
-        silentAt: Int,
+        stallOffset: Int,
     ) = try {
         readers.merge(id, 1, Int::plus)
-        write(call, id, from, silentAt)
+        write(call, id, from, stallOffset)
     } finally {
         readers.merge(id, -1, Int::plus)
     }
@@ -97,11 +97,11 @@
         call: ApplicationCall,
         id: String,
         from: Int,
-        silentAt: Int,
+        stallOffset: Int,
     ) = call.respondBytesWriter(ContentType.Text.EventStream) {
         val tokens = generations.getValue(id).tokens
         for (offset in from until tokens) {
-            if (offset == silentAt) awaitCancellation()
+            if (offset == stallOffset) awaitCancellation()
             if (gapMillis > 0) delay(gapMillis)
             writeStringUtf8("id: $offset\nevent: token\ndata: {\"generation\":\"$id\",\"text\":\"t$offset \"}\n\n")
             flush()
--- a/daemon/src/test/kotlin/io/sequoiawheel/daemon/FakePlainService.kt
+++ b/daemon/src/test/kotlin/io/sequoiawheel/daemon/FakePlainService.kt
@@ -12,23 +12,23 @@
 import kotlinx.serialization.json.Json
 import java.util.concurrent.atomic.AtomicInteger
 
-/** A plain service that counts what it runs and echoes bodies. */
+/** A plain service that echoes request bodies and counts the calls that it runs. */
 class FakePlainService {
     val runs = AtomicInteger()
 
     @Volatile
     var durationMillis = 0L
 
-    /** Answers name another request. */
+    /** Whether answers have the ID of another request. */
     @Volatile
-    var crossesAnswers = false
+    var returnsOtherRequestId = false
 
-    /** Answers break off before their end and look complete to the HTTP client. */
+    /** Whether answers are truncated in a way that the HTTP client does not detect. */
     @Volatile
     var truncatesAnswers = false
 
     @Volatile
-    var refuses = false
+    var rejectsCalls = false
 
     val server =
         FakeServer {
@@ -41,14 +41,14 @@
 
     private suspend fun run(call: ApplicationCall) {
         val id = call.request.header("X-Request-Id").orEmpty()
-        if (refuses) {
+        if (rejectsCalls) {
             call.response.headers.append("X-Not-Run", id)
             return call.respondText("{}", status = HttpStatusCode.ServiceUnavailable)
         }
         runs.incrementAndGet()
         val body = call.receiveText()
         delay(durationMillis)
-        call.response.headers.append("X-Request-Id", if (crossesAnswers) "another" else id)
+        call.response.headers.append("X-Request-Id", if (returnsOtherRequestId) "another" else id)
         val answer = """{"echo":$body}"""
         call.respondText(if (truncatesAnswers) answer.dropLast(3) else answer)
     }
--- a/daemon/src/test/kotlin/io/sequoiawheel/daemon/FakePlatform.kt
+++ b/daemon/src/test/kotlin/io/sequoiawheel/daemon/FakePlatform.kt
@@ -15,7 +15,7 @@
 import kotlinx.serialization.json.JsonPrimitive
 import java.util.concurrent.ConcurrentHashMap
 
-/** The object API and the instance list in memory, without lag. */
+/** An in-memory object API and instance list whose changes are visible immediately. */
 class FakePlatform {
     private class Stored(
         val version: Long,
@@ -26,11 +26,11 @@
     private val objects = HashMap<Pair<String, String>, Stored>()
     private var revision = 0L
 
-    /** The instance list by id. */
+    /** The listed instances by ID. */
     val instances = ConcurrentHashMap<String, Instance>()
 
     @Volatile
-    var down = false
+    var isUnavailable = false
 
     val server =
         FakeServer {
@@ -56,7 +56,7 @@
     fun put(document: ServiceDocument) = store("document" to document.service.value, DocumentCodec.encode(document))
 
     @Synchronized
-    fun countOf(kind: String): Int = objects.keys.count { it.first == kind }
+    fun objectCount(kind: String): Int = objects.keys.count { it.first == kind }
 
     @Synchronized
     private fun store(
@@ -73,7 +73,7 @@
     private suspend fun withPlatform(
         call: ApplicationCall,
         block: suspend () -> Unit,
-    ) = if (down) call.respondText("", status = HttpStatusCode.ServiceUnavailable) else block()
+    ) = if (isUnavailable) call.respondText("", status = HttpStatusCode.ServiceUnavailable) else block()
 
     private fun keyOf(call: ApplicationCall) = call.parameters["kind"]!! to call.parameters["name"]!!
 
--- a/daemon/src/test/kotlin/io/sequoiawheel/daemon/FakeServer.kt
+++ b/daemon/src/test/kotlin/io/sequoiawheel/daemon/FakeServer.kt
@@ -5,7 +5,7 @@
 import io.ktor.server.routing.Routing
 import io.ktor.server.routing.routing
 
-/** An HTTP server on a free loopback port. */
+/** An HTTP server with [routes] on a free loopback port. */
 class FakeServer(
     routes: Routing.() -> Unit,
 ) {
--- a/daemon/src/test/kotlin/io/sequoiawheel/daemon/GenerationPathTest.kt
+++ b/daemon/src/test/kotlin/io/sequoiawheel/daemon/GenerationPathTest.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test
 
 class GenerationPathTest {
-    private fun deployed(
+    private fun withDeployment(
         daemons: Int = 1,
         gapMillis: Long = 5,
         block: suspend Deployment.() -> Unit,
@@ -30,10 +30,10 @@
 
     private fun List<Deployment.Event>.offsets() = filter { it.name == "token" }.map { it.id }
 
-    /** Guards against a stream that loses, repeats or reorders tokens, or ends without `done` (P1, P4). */
+    /** Guards against a stream that loses, repeats or reorders tokens or ends without a `done` event (P1, P4). */
     @Test
-    fun `a stream carries offsets as ids and ends with done`() =
-        deployed {
+    fun `a stream delivers every token once and in order and ends with done`() =
+        withDeployment {
             val events = stream(0, HttpMethod.Post, Deployment.GENERATIONS, Deployment.generation(20))
             assertEquals("accepted", events.first().name)
             assertEquals((0..19).toList(), events.offsets())
@@ -43,23 +43,23 @@
             assertTrue(answer.bodyAsText().contains("\"text\":\"t0 t1 t2 \""), answer.bodyAsText())
         }
 
-    /** Guards against a silent link that ends a stream although the engine still holds the generation. */
+    /** Guards against a stalled engine connection that ends a stream although the engine still has the generation. */
     @Test
-    fun `a silent engine connection is replaced within the stream`() =
-        deployed {
-            engine.silentAt = 30
+    fun `a stream continues on a new connection after the engine connection stalls`() =
+        withDeployment {
+            engine.stallOffset = 30
             val events = stream(0, HttpMethod.Post, Deployment.GENERATIONS, Deployment.generation(60))
             assertEquals((0..59).toList(), events.offsets())
             assertEquals("done", events.last().name)
         }
 
     /**
-     * Guards against a resume that needs the instance which started the stream, or repeats tokens (P1), and against the
-     * first instance cancelling after its resume window of 500 ms what goes on at the second.
+     * Guards against a resume that works only at the first instance or repeats tokens (P1), and against the first
+     * instance cancelling the resumed generation when its resume window of 500 ms ends.
      */
     @Test
-    fun `a stream is resumed at another instance from the next offset`() =
-        deployed(daemons = 2, gapMillis = 10) {
+    fun `a stream resumes at another instance without lost or repeated tokens`() =
+        withDeployment(daemons = 2, gapMillis = 10) {
             val before = stream(0, HttpMethod.Post, Deployment.GENERATIONS, Deployment.generation(200), limit = 10)
             val handle = before.first().field("resumeHandle")
             val after =
@@ -70,28 +70,28 @@
             assertEquals("done", after.last().name)
         }
 
-    /** Guards against access to a generation with a changed handle or from another workspace. */
+    /** Guards against access to a generation with a forged handle or from another workspace. */
     @Test
-    fun `foreign and forged handles are refused`() =
-        deployed {
+    fun `forged handles and handles of another workspace are rejected`() =
+        withDeployment {
             val events = stream(0, HttpMethod.Post, Deployment.GENERATIONS, Deployment.generation(2))
             val handle = events.first().field("resumeHandle")
             val forged = send(0, HttpMethod.Get, "/v1/generations/${handle.dropLast(4)}AAAA")
-            val foreign =
+            val otherWorkspace =
                 send(0, HttpMethod.Get, "/v1/generations/$handle") {
                     headers.remove("X-Workspace")
                     header("X-Workspace", "stranger")
                 }
-            listOf(forged, foreign).forEach { response ->
+            listOf(forged, otherWorkspace).forEach { response ->
                 assertEquals(ResultCode.INVALID_RESUME_HANDLE.httpStatus, response.status.value)
                 assertTrue(response.bodyAsText().contains("INVALID_RESUME_HANDLE"))
             }
         }
 
-    /** Guards against a shutdown that interrupts a stream or accepts new work (P8). */
+    /** Guards against a graceful shutdown that interrupts a stream or accepts a new request (P8). */
     @Test
-    fun `a leaving instance finishes its streams and refuses new requests`() =
-        deployed(gapMillis = 20) {
+    fun `a leaving instance completes its streams and rejects new requests`() =
+        withDeployment(gapMillis = 20) {
             coroutineScope {
                 val before = engine.started.get()
                 val stream = async { stream(0, HttpMethod.Post, Deployment.GENERATIONS, Deployment.generation(100)) }
@@ -106,10 +106,10 @@
             }
         }
 
-    /** Guards against generations that run on, and hold memory, after their callers left. */
+    /** Guards against a generation that keeps running and using engine memory after its caller disconnects. */
     @Test
-    fun `a generation is cancelled after the resume window`() =
-        deployed(gapMillis = 20) {
+    fun `an abandoned generation is cancelled after the resume window`() =
+        withDeployment(gapMillis = 20) {
             stream(0, HttpMethod.Post, Deployment.GENERATIONS, Deployment.generation(500), limit = 3)
             delay(100)
             assertEquals(0, engine.cancelled.size)
--- a/daemon/src/test/kotlin/io/sequoiawheel/daemon/RelayCostTest.kt
+++ b/daemon/src/test/kotlin/io/sequoiawheel/daemon/RelayCostTest.kt
@@ -15,34 +15,34 @@
 class RelayCostTest {
     private val system = ManagementFactory.getOperatingSystemMXBean() as OperatingSystemMXBean
 
-    private class Figures(
+    private class Measurement(
         val firstTokenMicros: Long,
         val processorNanosPerToken: Long,
     )
 
     /**
-     * Guards against a relay that a daemon's one core cannot bear: the design has 1.2 million tokens a second on 340
-     * daemons, thus 283 microseconds of a core per token, and the first token within 540 ms.
+     * Guards against a relay too slow for one core per daemon. The design load is 1.2 million tokens per second on 340
+     * daemons, which leaves 283 microseconds of processor time per token; the first token is due within 540 ms.
      */
     @Test
-    fun `a relayed token costs less than a core's share`() =
+    fun `the cost of a relayed token stays within the processor and latency budgets`() =
         runBlocking {
             withTimeout(120_000) {
                 Deployment(gapMillis = 0).use { deployment ->
                     deployment.start()
-                    val direct = "http://${deployment.engine.server.address}/generations"
-                    val relayed = "http://127.0.0.1:${deployment.daemons[0].port}${Deployment.GENERATIONS}"
+                    val directUrl = "http://${deployment.engine.server.address}/generations"
+                    val relayedUrl = "http://127.0.0.1:${deployment.daemons[0].port}${Deployment.GENERATIONS}"
                     repeat(2) {
-                        measure(deployment, direct)
-                        measure(deployment, relayed)
+                        measure(deployment, directUrl)
+                        measure(deployment, relayedUrl)
                     }
-                    val plain = measure(deployment, direct)
-                    val through = measure(deployment, relayed)
-                    val added = through.processorNanosPerToken - plain.processorNanosPerToken
-                    val latency = through.firstTokenMicros - plain.firstTokenMicros
+                    val direct = measure(deployment, directUrl)
+                    val relayed = measure(deployment, relayedUrl)
+                    val added = relayed.processorNanosPerToken - direct.processorNanosPerToken
+                    val latency = relayed.firstTokenMicros - direct.firstTokenMicros
                     println("relay cost: $added ns of processor time per token, $latency us to the first token")
-                    println("relayed to direct: processor ${ratio(through, plain) { processorNanosPerToken }}")
-                    println("relayed to direct: first token ${ratio(through, plain) { firstTokenMicros }}")
+                    println("relayed to direct: processor ${ratio(relayed, direct) { processorNanosPerToken }}")
+                    println("relayed to direct: first token ${ratio(relayed, direct) { firstTokenMicros }}")
                     assertTrue(added < 283_000, "$added ns per token")
                     assertTrue(latency < 540_000, "$latency us")
                 }
@@ -50,19 +50,20 @@
         }
 
     private fun ratio(
-        relayed: Figures,
-        direct: Figures,
-        figure: Figures.() -> Long,
+        relayed: Measurement,
+        direct: Measurement,
+        figure: Measurement.() -> Long,
     ): Double = relayed.figure().toDouble() / direct.figure()
 
     private suspend fun measure(
         deployment: Deployment,
         url: String,
-    ): Figures {
+    ): Measurement {
         val before = system.processCpuTime
-        val firsts = List(STREAMS) { index -> readStream(deployment, url, "id-${System.nanoTime()}-$index") }.sorted()
-        val processor = system.processCpuTime - before
-        return Figures(firsts[STREAMS / 2] / 1_000, processor / (STREAMS * TOKENS))
+        val firstTokenNanos =
+            List(STREAMS) { index -> readStream(deployment, url, "id-${System.nanoTime()}-$index") }.sorted()
+        val processorNanos = system.processCpuTime - before
+        return Measurement(firstTokenNanos[STREAMS / 2] / 1_000, processorNanos / (STREAMS * TOKENS))
     }
 
     private suspend fun readStream(
@@ -79,12 +80,12 @@
                 setBody("""{$identity"model":"m","prompt":"write","maxTokens":$TOKENS}""")
             }.execute { response ->
                 val channel = response.bodyAsChannel()
-                var first = 0L
+                var firstNanos = 0L
                 while (true) {
                     val line = channel.readUTF8Line() ?: break
-                    if (first == 0L && line.startsWith("id:")) first = System.nanoTime() - started
+                    if (firstNanos == 0L && line.startsWith("id:")) firstNanos = System.nanoTime() - started
                 }
-                first
+                firstNanos
             }
     }
 
--- a/daemon/src/test/kotlin/io/sequoiawheel/daemon/SettingsReaderTest.kt
+++ b/daemon/src/test/kotlin/io/sequoiawheel/daemon/SettingsReaderTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test
 
 class SettingsReaderTest {
-    private val valid =
+    private val validSettings =
         """
         {"instanceId":"entry-1","region":"r","zone":"z",
          "listen":{"host":"127.0.0.1","port":8080},"peer":{"host":"127.0.0.1","port":8081},
@@ -16,19 +16,20 @@
          "resumeKey":"AAECAwQFBgcICQoLDA0ODw=="}
         """.trimIndent()
 
-    /** Guards against a daemon that starts with a wrong, misspelt or missing setting, or does not name it. */
+    /** Guards against invalid, misspelt or missing settings that are accepted, or reported without their path. */
     @Test
-    fun `each fault names its field and what is allowed`() {
-        assertTrue(SettingsReader.read(valid).isRight())
+    fun `each fault states its field and the allowed values`() {
+        assertTrue(SettingsReader.read(validSettings).isRight())
         val faults =
             mapOf(
-                valid.replace("\"zone\":\"z\",", "") to "$.zone: missing field",
-                valid.replace("\"port\":8080", "\"prot\":8080") to
-                    "$.listen.prot: unknown field; allowed are host, port",
-                valid.replace("8080", "\"8080\"") to "$.listen.port: must be a whole number",
-                valid.replace("8080", "80800") to "$.listen.port: must be 0 to 65535",
-                valid.replace("\"host\":\"127.0.0.1\"", "\"host\":\"local\"") to "$.listen.host: must be an IP address",
-                valid.replace("AAECAwQF", "") to "$.resumeKey: must be base64 of at least 16 bytes",
+                validSettings.replace("\"zone\":\"z\",", "") to "$.zone: missing required field",
+                validSettings.replace("\"port\":8080", "\"prot\":8080") to
+                    "$.listen.prot: unknown field; allowed fields are host, port",
+                validSettings.replace("8080", "\"8080\"") to "$.listen.port: must be a whole number",
+                validSettings.replace("8080", "80800") to "$.listen.port: must be 0 to 65535",
+                validSettings.replace("\"host\":\"127.0.0.1\"", "\"host\":\"local\"") to
+                    "$.listen.host: must be a numeric IP address",
+                validSettings.replace("AAECAwQF", "") to "$.resumeKey: must be base64 of at least 16 bytes",
                 "[" to "$: must be a JSON object",
             )
         faults.forEach { (text, expected) ->
