--- a/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantHeartbeats.kt
+++ b/daemon/src/main/kotlin/io/sequoiawheel/daemon/placement/GrantHeartbeats.kt
@@ -50,7 +50,13 @@
     }
 
     private fun subsetOf(replicas: List<Instance>): List<Instance> {
-        val chosen = RendezvousHashing.subset(self.id.value, replicas.map { it.id }, FOREIGN_REPLICAS_PER_SERVICE).toSet()
+        val chosen =
+            RendezvousHashing
+                .subset(
+                    self.id.value,
+                    replicas.map { it.id },
+                    FOREIGN_REPLICAS_PER_SERVICE,
+                ).toSet()
         return replicas.filter { it.id in chosen }
     }
 
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
@@ -25,7 +25,13 @@
         notice.coldForMillis?.let(replica::coldFor)
         if (notice.isLeaving) markLeaving(replica, head)
         notice.invalidRetryAfter?.let { value ->
-            log.stateChange("unreadable retry delay of a replica", mapOf("replica" to replica.toString(), "value" to value))
+            log.stateChange(
+                "unreadable retry delay of a replica",
+                mapOf(
+                    "replica" to replica.toString(),
+                    "value" to value,
+                ),
+            )
         }
         notice.pauseMillis?.let { backOffFrom(replica, head, it) }
     }
