--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/AggregatorSelection.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/AggregatorSelection.kt
@@ -14,28 +14,28 @@
 ) {
     private val startedMillis = clock.nowMillis()
     private val avoidedUntilMillis = HashMap<String, Long>()
-    private var preferred: Peer? = null
-    private var preferredSinceMillis = startedMillis
-    private var reportedMillis: Long? = null
-    private var requestedMillis: Long? = null
+    private var selected: Peer? = null
+    private var selectedSinceMillis = startedMillis
+    private var totalsReceivedMillis: Long? = null
+    private var lastRequestMillis: Long? = null
 
     /** Whether other instances of the zone use this one as their aggregator. */
-    val isRequested: Boolean get() = requestedMillis?.let { clock.nowMillis() - it <= REQUESTED_MILLIS } ?: false
+    val isRequested: Boolean get() = lastRequestMillis?.let { clock.nowMillis() - it <= REQUEST_LIFE_MILLIS } ?: false
 
     /** Whether the selected aggregator has not sent totals since it was selected. */
-    val isUnanswered: Boolean get() = preferred != null && reportedMillis == null
+    val isUnanswered: Boolean get() = selected != null && totalsReceivedMillis == null
 
     /** Records that another instance asked this one to aggregate. */
     fun recordRequest() {
-        requestedMillis = clock.nowMillis()
+        lastRequestMillis = clock.nowMillis()
     }
 
     /** Records that [sender] sent its totals. */
-    fun recordReport(sender: String) {
-        if (sender == preferred?.name) reportedMillis = clock.nowMillis()
+    fun recordTotals(sender: String) {
+        if (sender == selected?.name) totalsReceivedMillis = clock.nowMillis()
     }
 
-    /** Returns the instances to ask, the preferred one first; empty if this instance aggregates for itself. */
+    /** Returns the instances to ask, the selected one first; empty if this instance aggregates for itself. */
     fun current(): List<Peer> {
         val now = clock.nowMillis()
         avoidSilent(now)
@@ -44,41 +44,41 @@
         // If no request arrived for some time, the others use another aggregator, possibly one unknown to this
         // instance.
         val mayAggregate = isRequested || now - startedMillis < UNREQUESTED_MILLIS
-        val smaller = if (mayAggregate) candidates.takeWhile { it.name < self.name } else candidates
-        choose(smaller.firstOrNull(), now)
-        return if (reportedMillis == null) smaller.take(PROBED_CANDIDATES) else smaller.take(1)
+        val preceding = if (mayAggregate) candidates.takeWhile { it.name < self.name } else candidates
+        select(preceding.firstOrNull(), now)
+        return if (totalsReceivedMillis == null) preceding.take(PROBED_CANDIDATES) else preceding.take(1)
     }
 
-    private fun choose(
+    private fun select(
         peer: Peer?,
         now: Long,
     ) {
-        if (peer == preferred) return
-        preferred = peer
-        preferredSinceMillis = now
-        reportedMillis = null
+        if (peer == selected) return
+        selected = peer
+        selectedSinceMillis = now
+        totalsReceivedMillis = null
     }
 
     private fun avoidSilent(now: Long) {
-        val silent = preferred?.takeIf { now - (reportedMillis ?: preferredSinceMillis) > SILENT_MILLIS } ?: return
+        val silent = selected?.takeIf { now - (totalsReceivedMillis ?: selectedSinceMillis) > SILENT_MILLIS } ?: return
         avoidedUntilMillis[silent.name] = now + AVOIDED_MILLIS
-        choose(null, now)
+        select(null, now)
     }
 
     private companion object {
-        /** Three report intervals of the instances that use this one as their aggregator. */
-        const val REQUESTED_MILLIS = 3_000L
+        /** How long a request counts: three heartbeats of the instances that use this one as their aggregator. */
+        const val REQUEST_LIFE_MILLIS = 3_000L
 
-        /** The first instance by name gives up aggregating if no other instance requests it for this long. */
+        /** How long after its start an instance may aggregate without being requested. */
         const val UNREQUESTED_MILLIS = 4_000L
 
-        /** An aggregator counts as silent after two consecutive lost totals. */
+        /** An aggregator counts as silent after two consecutive lost totals, which are at most 700 ms apart. */
         const val SILENT_MILLIS = 1_500L
 
         /** Network outages of an instance usually last several seconds. */
         const val AVOIDED_MILLIS = 12_000L
 
-        /** Number of candidates asked in parallel until the preferred one responds, since it may have terminated. */
+        /** Number of candidates asked in parallel until the selected one responds, since it may have terminated. */
         const val PROBED_CANDIDATES = 2
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ChangeHistory.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ChangeHistory.kt
@@ -59,7 +59,7 @@
     }
 
     private companion object {
-        /** The number of changes in ten minutes if five replicas are replaced every three seconds. */
+        /** The number of changes in ten minutes if five replicas are replaced every three seconds, two changes each. */
         const val DEFAULT_LIMIT = 2_000
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/Delivery.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/Delivery.kt
@@ -7,12 +7,16 @@
 /** How to handle an event: deliver it, skip a duplicate, or report a gap in the sequence. */
 enum class DeliveryDecision { DELIVER, SKIP, GAP }
 
-/** Tracks the delivery position in one stream. Not thread-safe. */
+/**
+ * Tracks the delivery position in one stream. Not thread-safe.
+ *
+ * @param resumeAfter the id of the event from which the caller resumes, or null if it starts a new stream
+ */
 class Delivery(
-    firstAfter: Long?,
+    resumeAfter: Long?,
 ) {
     /** The id of the last delivered event or the one from which the caller resumed; null before the first. */
-    var lastId: Long? = firstAfter
+    var lastId: Long? = resumeAfter
         private set
 
     /** Number of events delivered. */
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/Departures.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/Departures.kt
@@ -6,8 +6,8 @@
 /**
  * Remembers replicas that left, so that a restored older snapshot of the platform's replica list does not bring them
  * back. An incarnation that left for a final reason is never used again. One whose entry only disappeared is used again
- * if the list contains it in the same era, or if it is still listed after the time in which the store expires entries
- * that are not renewed. Confined to one thread.
+ * if it reappears before the store is restored, or if it is still listed after the time in which the store expires
+ * entries that are not renewed. Confined to one thread.
  */
 internal class Departures(
     private val clock: Clock,
@@ -19,6 +19,8 @@
 
     private val removals = LinkedHashMap<InstanceId, Removal>()
     private val finalReasons = LinkedHashMap<Pair<InstanceId, Long>, LeaveReason>()
+
+    /** Number of restores seen; a count of this instance, unlike the eras that the store states. */
     private var era = 0
     private var settlingUntilMillis = Long.MIN_VALUE
 
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/EvacuatedZones.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/EvacuatedZones.kt
@@ -42,10 +42,10 @@
     /** Records that [zone] was evacuated or returned to service. */
     fun set(
         zone: ZoneName,
-        isOut: Boolean,
+        isEvacuated: Boolean,
     ) {
         heldUntilMillis.remove(zone)
-        if (isOut) listed += zone else listed -= zone
+        if (isEvacuated) listed += zone else listed -= zone
     }
 
     private companion object {
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/FleetSizeEstimate.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/FleetSizeEstimate.kt
@@ -4,7 +4,7 @@
 
 /**
  * An upper estimate of the number of instances. Instances that are partitioned from this one still use their shares of
- * common limits, so the estimate is the maximum of the last minutes. Confined to one thread.
+ * common limits, so the estimate is the maximum of the last two minutes. Confined to one thread.
  */
 internal class FleetSizeEstimate(
     private val clock: Clock,
@@ -23,7 +23,7 @@
     }
 
     companion object {
-        /** Assumed before any other instance is known: the largest planned fleet. */
-        const val UNKNOWN = 340
+        /** Size of the largest planned fleet, which is assumed before any other instance is known. */
+        const val LARGEST_PLANNED = 340
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/Freshness.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/Freshness.kt
@@ -16,7 +16,7 @@
 /**
  * Tracks the time as of which the configuration in force was last confirmed to be the newest. Not thread-safe.
  *
- * @param limitMillis age above which requests with API keys are refused
+ * @param limitMillis age of the configuration above which requests with API keys are refused
  */
 class Freshness(
     private val monotonic: Clock,
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/HubSelection.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/HubSelection.kt
@@ -1,7 +1,7 @@
 /*
  * Selection of the instance that watches the platform's store on behalf of its availability zone. A watch costs one
  * call per change and instance, so one instance of each zone, the hub, watches the store, and the others watch the hub.
- * No consensus is needed: a second hub only costs calls, and an instance whose hub fails temporarily watches the store.
+ * No consensus is needed: a second hub only costs calls, and an instance whose hub fails watches the store for a while.
  */
 package io.sequoiawheel.core.relay
 
@@ -22,7 +22,7 @@
     private val live: () -> List<Peer>,
 ) {
     private var hub: Peer? = null
-    private var directUntilMillis = Long.MIN_VALUE
+    private var fallbackUntilMillis = Long.MIN_VALUE
     private val avoidedUntilMillis = HashMap<String, Long>()
     private var watchedAtMillis: Long? = null
 
@@ -36,13 +36,13 @@
 
     /** Returns the instance to watch, or null if this instance must watch the store itself. */
     fun current(): Peer? {
-        if (clock.nowMillis() < directUntilMillis || hasWatchers) return null
+        if (clock.nowMillis() < fallbackUntilMillis || hasWatchers) return null
         avoidedUntilMillis.values.removeIf { it <= clock.nowMillis() }
         val members = live().filter { it.zone == ownZone }
         if (members.size + 1 < MINIMUM_MEMBERS) return null
-        val trusted = members.filter { it.name !in avoidedUntilMillis }
-        val kept = hub?.takeIf { it in trusted }
-        val first = kept ?: trusted.minByOrNull { it.name }?.takeIf { it.name < ownName }
+        val available = members.filter { it.name !in avoidedUntilMillis }
+        val kept = hub?.takeIf { it in available }
+        val first = kept ?: available.minByOrNull { it.name }?.takeIf { it.name < ownName }
         hub = first
         return first
     }
@@ -55,7 +55,7 @@
         if (peer != hub) return false
         hub = null
         avoidedUntilMillis[peer.name] = clock.nowMillis() + AVOIDED_MILLIS
-        directUntilMillis = clock.nowMillis() + DIRECT_MILLIS + (random.nextDouble() * DIRECT_SPREAD_MILLIS).toLong()
+        fallbackUntilMillis = clock.nowMillis() + FALLBACK_MILLIS + (random.nextDouble() * JITTER_MILLIS).toLong()
         return true
     }
 
@@ -63,18 +63,21 @@
         /** Smallest zone in which a hub saves calls; with two instances it saves half of them. */
         const val MINIMUM_MEMBERS = 2
 
-        /** Each instance requests the configuration from its hub about once per second. */
+        /** How long a watch counts. Each instance requests the configuration from its hub about once per second. */
         const val WATCHED_MILLIS = 3_000L
 
-        /** All instances of a zone detect the loss of their hub within the second in which each polls it once. */
-        const val DIRECT_MILLIS = 1_200L
+        /**
+         * How long an instance watches the store after its hub failed. All instances of a zone detect the failure
+         * within a second, since each polls the hub once per second.
+         */
+        const val FALLBACK_MILLIS = 1_200L
 
         /** An instance that lost the store or its network usually stays without it for several seconds. */
         const val AVOIDED_MILLIS = 12_000L
 
         /**
-         * Jitter across the instances of a zone, so that the new hub has taken its role before most of them contact it.
+         * Jitter across the instances of a zone, so that the new hub watches the store before most of them contact it.
          */
-        const val DIRECT_SPREAD_MILLIS = 1_200L
+        const val JITTER_MILLIS = 1_200L
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/InstanceSettings.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/InstanceSettings.kt
@@ -1,6 +1,6 @@
 /*
- * The startup settings of an entry instance: its listen addresses, the address of the platform's store, and the limits
- * set by the operators. Times are in milliseconds unless a name says otherwise.
+ * The startup settings of an instance: its listen addresses, the address of the platform's store, and the bounds set by
+ * the operators. Times are in milliseconds unless a name says otherwise.
  */
 package io.sequoiawheel.core.relay
 
@@ -23,8 +23,10 @@
 }
 
 /**
- * The settings of one entry instance.
+ * The settings of one instance.
  *
+ * @property callers where the instance accepts the requests of callers
+ * @property readiness where the instance answers readiness probes
  * @property peerPorts ports available for communication between instances, the same on all machines
  */
 data class InstanceSettings(
@@ -39,9 +41,9 @@
 )
 
 /**
- * The limits that the operators set for the instances.
+ * The bounds that the operators set for the instances.
  *
- * @property contactMillis how long an instance must be reachable before the limits apply to it again
+ * @property contactMillis how long an instance must be reachable before the bounds apply to it again
  * @property drainMillis time after which a leaving replica receives no more requests
  * @property graceSeconds time from SIGTERM to SIGKILL
  * @property revokeMillis time after which a revoked API key is refused
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/LoadExchange.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/LoadExchange.kt
@@ -1,8 +1,8 @@
 /*
- * Exchange of replica load between entry instances. A small fleet exchanges reports in a full mesh. In a larger one
- * each instance reports to one instance of its availability zone, the aggregator, which exchanges sums with the
- * aggregators of the other zones and sends the totals to its zone, so that the message rate of an instance does not
- * grow with the fleet. An instance subtracts its own load from a total using the report that the total includes.
+ * Exchange of replica load between instances. A small fleet exchanges reports in a full mesh. In a larger one each
+ * instance reports to one instance of its availability zone, the aggregator, which exchanges sums with the aggregators
+ * of the other zones and sends the totals to its zone, so that the message rate of an instance does not grow with the
+ * fleet. An instance subtracts its own load from a total using the report that the total includes.
  */
 package io.sequoiawheel.core.relay
 
@@ -18,7 +18,8 @@
 /**
  * Decides which load messages one instance sends, and processes those that it receives. Confined to one thread.
  *
- * @param start identifies this incarnation; larger than that of earlier incarnations of the same name
+ * @param start start time in Unix milliseconds, which identifies this incarnation; larger than that of earlier
+ *   incarnations of the same name
  */
 class LoadExchange(
     private val self: Peer,
@@ -27,7 +28,7 @@
 ) {
     /** The content of the last message that is compared to decide whether a new message is needed. */
     private data class SentContent(
-        val memory: Map<String, Pair<Long, Long>> = emptyMap(),
+        val generationTokens: Map<String, Pair<Long, Long>> = emptyMap(),
         val leaving: StartsByReplica = emptyMap(),
     )
 
@@ -38,14 +39,14 @@
     private val fleetSize = FleetSizeEstimate(clock)
     private var sequence = 0L
     private var meshRounds = 0L
-    private var totalRounds = 0L
+    private var totalsRounds = 0L
     private var isListed = false
     private var reportSentMillis: Long? = null
-    private var totalSentMillis: Long? = null
-    private var sumSentMillis: Long? = null
-    private var totalBytes = 0
-    private var lastTotal: SentContent = SentContent()
-    private var lastSum: SentContent = SentContent()
+    private var totalsSentMillis: Long? = null
+    private var sumsSentMillis: Long? = null
+    private var totalsBytes = 0
+    private var lastTotals: SentContent = SentContent()
+    private var lastSums: SentContent = SentContent()
     private var leaving: StartsByReplica = emptyMap()
 
     /**
@@ -53,12 +54,12 @@
      */
     val instanceCount: Int
         get() {
-            if (!isListed && received.isEmpty) return FleetSizeEstimate.UNKNOWN
+            if (!isListed && received.isEmpty) return FleetSizeEstimate.LARGEST_PLANNED
             return fleetSize.update(maxOf(liveCount(), roster.size + 1))
         }
 
     /** Returns the number of instances that reported recently, including this one. */
-    fun liveCount(): Int = totals()?.instances ?: (1 + received.count())
+    fun liveCount(): Int = totals()?.instanceCount ?: (1 + received.count())
 
     /** Returns the other instances recently contacted or listed; in a large fleet, only those of the local zone. */
     fun live(): List<Peer> = roster.activeWithin(LIVE_MILLIS)
@@ -81,17 +82,17 @@
         leaving: StartsByReplica = emptyMap(),
     ): List<OutgoingMessage> {
         val outgoing = ArrayList<OutgoingMessage>()
-        val hasChanged = memory(work) != memory(sentReports.newest) || leaving != this.leaving
+        val hasChanged = generationTokens(work) != generationTokens(sentReports.latestWork) || leaving != this.leaving
         this.leaving = leaving
-        if (hasChanged || isElapsed(reportSentMillis, heartbeatMillis())) outgoing += report(work, isLeaving = false)
+        if (hasChanged || isElapsed(reportSentMillis, heartbeatMillis())) outgoing += newReport(work, isLeaving = false)
         if (!aggregators.isRequested && !isAggregator()) return outgoing
-        if (isElapsed(totalSentMillis, totalIntervalMillis())) total(work)?.let { outgoing += it }
-        if (!isMesh() && isElapsed(sumSentMillis, SUM_INTERVAL_MILLIS)) sum(work)?.let { outgoing += it }
+        if (isElapsed(totalsSentMillis, totalsIntervalMillis())) newTotals(work)?.let { outgoing += it }
+        if (!isMesh() && isElapsed(sumsSentMillis, SUMS_INTERVAL_MILLIS)) newSums(work)?.let { outgoing += it }
         return outgoing
     }
 
     /** Returns the final message of an instance that is shutting down. */
-    fun leave(): OutgoingMessage = report(emptyMap(), isLeaving = true)
+    fun leave(): OutgoingMessage = newReport(emptyMap(), isLeaving = true)
 
     /** Processes a message. Returns the messages to forward immediately. */
     fun receive(message: PeerMessage): List<OutgoingMessage> {
@@ -124,7 +125,7 @@
         if (!received.accept(report)) return
         if (report.isLeaving) return roster.remove(report.sender)
         roster.recordContact(sender)
-        if (report.wantsSums && sender.zone == self.zone) aggregators.recordRequest()
+        if (report.wantsTotals && sender.zone == self.zone) aggregators.recordRequest()
     }
 
     private fun receive(
@@ -132,7 +133,7 @@
         sender: Peer,
     ) {
         roster.recordContact(sender)
-        aggregators.recordReport(report.sender)
+        aggregators.recordTotals(report.sender)
         received.accept(report, preferred = aggregators.current().firstOrNull()?.name)
         report.addresses.filterKeys { it != self.name }.forEach { (name, address) ->
             Endpoint.parseOrNull(address)?.let { roster.recordContact(Peer(name, self.zone, it)) }
@@ -150,30 +151,30 @@
         return listOfNotNull(aggregator?.let { OutgoingMessage(listOf(it.endpoint), report.copy(isForwarded = true)) })
     }
 
-    private fun report(
+    private fun newReport(
         work: WorkByReplica,
         isLeaving: Boolean,
     ): OutgoingMessage {
         val endpoint = self.endpoint.toString()
-        val wantsSums = !isMesh() && !isLeaving
+        val wantsTotals = !isMesh() && !isLeaving
         val report =
-            PeerReport(self.name, start, ++sequence, endpoint, work, isLeaving, self.zone.value, wantsSums, leaving)
+            PeerReport(self.name, start, ++sequence, endpoint, work, isLeaving, self.zone.value, wantsTotals, leaving)
         sentReports.add(report)
         reportSentMillis = clock.nowMillis()
         return OutgoingMessage((if (isMesh()) meshPeers() else aggregators.current()).map { it.endpoint }, report)
     }
 
     /** Returns the totals for the instances that requested them, or null if there are none or nothing changed. */
-    private fun total(work: WorkByReplica): OutgoingMessage? {
-        val members = received.members
-        val requesters = members.filter { it.wantsSums }.mapNotNull { Endpoint.parseOrNull(it.endpoint) }
+    private fun newTotals(work: WorkByReplica): OutgoingMessage? {
+        val reports = received.localReports
+        val requesters = reports.filter { it.wantsTotals }.mapNotNull { Endpoint.parseOrNull(it.endpoint) }
         if (requesters.isEmpty()) return null
-        val total = (received.work() + listOf(work)).total()
-        val content = SentContent(memory(total), leaving + received.reportedLeaving())
-        if (content == lastTotal && !isElapsed(totalSentMillis, TOTAL_INTERVAL_LIMIT_MILLIS)) return null
-        lastTotal = content
-        totalSentMillis = clock.nowMillis()
-        val hasAddresses = totalRounds++ % ADDRESS_ROUNDS == 0L
+        val totals = (received.work() + listOf(work)).sumByReplica()
+        val content = SentContent(generationTokens(totals), leaving + received.reportedLeaving())
+        if (content == lastTotals && !isElapsed(totalsSentMillis, TOTALS_INTERVAL_LIMIT_MILLIS)) return null
+        lastTotals = content
+        totalsSentMillis = clock.nowMillis()
+        val hasAddresses = totalsRounds++ % ADDRESS_ROUNDS == 0L
         val report =
             FleetReport(
                 self.name,
@@ -182,25 +183,26 @@
                 self.endpoint.toString(),
                 self.zone.value,
                 1 + received.count(),
-                total,
-                members.associate { it.sender to it.sequence },
-                if (hasAddresses) members.associate { it.sender to it.endpoint } else emptyMap(),
+                totals,
+                reports.associate { it.sender to it.sequence },
+                if (hasAddresses) reports.associate { it.sender to it.endpoint } else emptyMap(),
                 content.leaving,
             )
-        totalBytes = (report.work.size + report.members.size) * BYTES_PER_ENTRY
+        totalsBytes = (report.work.size + report.members.size) * BYTES_PER_ENTRY
         return OutgoingMessage(requesters, report)
     }
 
     /** Returns the sums of the local zone for the other zones, or null if there are none or nothing changed. */
-    private fun sum(work: WorkByReplica): OutgoingMessage? {
+    private fun newSums(work: WorkByReplica): OutgoingMessage? {
         val targets = otherZones()
         if (targets.isEmpty()) return null
-        val members = received.members
-        val sums = (members.map { it.work } + listOf(work)).total()
-        val content = SentContent(memory(sums), members.fold(leaving) { known, member -> known + member.leaving })
-        if (content == lastSum && !isElapsed(sumSentMillis, HEARTBEAT_MILLIS)) return null
-        lastSum = content
-        sumSentMillis = clock.nowMillis()
+        val reports = received.localReports
+        val sums = (reports.map { it.work } + listOf(work)).sumByReplica()
+        val content =
+            SentContent(generationTokens(sums), reports.fold(leaving) { known, member -> known + member.leaving })
+        if (content == lastSums && !isElapsed(sumsSentMillis, HEARTBEAT_MILLIS)) return null
+        lastSums = content
+        sumsSentMillis = clock.nowMillis()
         val endpoint = self.endpoint.toString()
         val report =
             ZoneReport(
@@ -209,7 +211,7 @@
                 ++sequence,
                 endpoint,
                 self.zone.value,
-                1 + members.size,
+                1 + reports.size,
                 sums,
                 leaving = content.leaving,
             )
@@ -228,7 +230,7 @@
     }
 
     private fun othersWork(): WorkByReplica {
-        val fleetTotals = totals() ?: return received.work().total()
+        val fleetTotals = totals() ?: return received.work().sumByReplica()
         val own = fleetTotals.members[self.name]?.let(sentReports::get).orEmpty()
         return fleetTotals.work.mapValues { (replica, sum) -> own[replica]?.let { sum - it } ?: sum }
     }
@@ -254,12 +256,12 @@
         millis: Long,
     ) = sinceMillis == null || clock.nowMillis() - sinceMillis >= millis
 
-    private fun totalIntervalMillis(): Long =
-        (totalBytes * MILLIS_PER_SECOND / TOTAL_BYTES_PER_SECOND)
-            .coerceIn(TOTAL_INTERVAL_MILLIS, TOTAL_INTERVAL_LIMIT_MILLIS)
+    private fun totalsIntervalMillis(): Long =
+        (totalsBytes * MILLIS_PER_SECOND / TOTALS_BYTES_PER_SECOND)
+            .coerceIn(TOTALS_INTERVAL_MILLIS, TOTALS_INTERVAL_LIMIT_MILLIS)
 
-    /** Returns the memory and queued prompts of generations; plain calls are too short to justify a report. */
-    private fun memory(work: WorkByReplica): Map<String, Pair<Long, Long>> =
+    /** Returns the memory and queued prompts of generations in tokens; plain calls are too short for a report. */
+    private fun generationTokens(work: WorkByReplica): Map<String, Pair<Long, Long>> =
         work.mapValues { it.value.tokens to it.value.promptTokens }.filterValues { it.first > 0 }
 
     companion object {
@@ -292,19 +294,19 @@
         private const val SILENT_ROUNDS = 20L
 
         /** Half the time of one prompt prefill; with older totals, instances would select the same replica. */
-        private const val TOTAL_INTERVAL_MILLIS = 100L
+        private const val TOTALS_INTERVAL_MILLIS = 100L
 
         /** Shorter than the time after which an aggregator counts as silent. */
-        private const val TOTAL_INTERVAL_LIMIT_MILLIS = 700L
+        private const val TOTALS_INTERVAL_LIMIT_MILLIS = 700L
 
         /** Limit on the totals that an instance receives: five per second for 95 instances and 33 replicas. */
-        private const val TOTAL_BYTES_PER_SECOND = 8_000L
+        private const val TOTALS_BYTES_PER_SECOND = 8_000L
 
         /** Size of an id and its values in a message. */
         private const val BYTES_PER_ENTRY = 30
 
         /** Sums between zones may be staler, since generations are placed in the local zone first. */
-        private const val SUM_INTERVAL_MILLIS = 200L
+        private const val SUMS_INTERVAL_MILLIS = 200L
 
         /** How long one instance of a zone with unknown sums receives this zone's sums before the next one is tried. */
         private const val ZONE_PROBE_MILLIS = 800L
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/PeerMessage.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/PeerMessage.kt
@@ -1,6 +1,7 @@
 /*
- * Load messages between entry instances. They are sent as datagrams, which may be lost, duplicated or reordered, so
- * each message carries absolute values and a sequence number that identifies the newer one.
+ * Load messages between instances. They are sent as datagrams, which may be lost, duplicated or reordered, so each
+ * message carries absolute values and a sequence number that identifies the newer one. The sums of a zone are the load
+ * of its instances; the totals are the load of the instances of all zones.
  */
 package io.sequoiawheel.core.relay
 
@@ -39,7 +40,7 @@
 typealias StartsByReplica = Map<String, Long>
 
 /** Returns the sum per replica. */
-fun Iterable<WorkByReplica>.total(): WorkByReplica {
+fun Iterable<WorkByReplica>.sumByReplica(): WorkByReplica {
     val sums = HashMap<String, PeerWork>()
     for (work in this) work.forEach { (replica, part) -> sums.merge(replica, part, PeerWork::plus) }
     return sums
@@ -67,12 +68,13 @@
  * A load message.
  *
  * @property sender name of the instance
- * @property start identifies the incarnation of the sender; a later one has a larger number
+ * @property start start time of the sender in Unix milliseconds, which identifies its incarnation; a later one has a
+ *   larger number
  * @property sequence increases with each message of an incarnation
  * @property endpoint where the sender listens for messages, as `host:port`
  * @property zone the sender's availability zone
- * @property leaving replicas known to the sender's part of the fleet to have announced in a response that they are
- *   leaving
+ * @property leaving replicas that announced in a response, to one of the instances whose load the message includes,
+ *   that they are leaving
  */
 @Serializable
 sealed interface PeerMessage {
@@ -98,7 +100,7 @@
 /**
  * The load of one instance.
  *
- * @property wantsSums whether the receiver should aggregate the load and send the totals to the sender
+ * @property wantsTotals whether the receiver should aggregate the load and send the totals to the sender
  */
 @Serializable
 @SerialName("i")
@@ -110,13 +112,14 @@
     @SerialName("w") val work: WorkByReplica,
     @SerialName("l") val isLeaving: Boolean = false,
     @SerialName("z") override val zone: String = "",
-    @SerialName("a") val wantsSums: Boolean = false,
+    @SerialName("a") val wantsTotals: Boolean = false,
     @SerialName("q") override val leaving: StartsByReplica = emptyMap(),
 ) : PeerMessage
 
 /**
  * The load of all instances of the sender's zone, sent to the other zones.
  *
+ * @property instanceCount number of instances that the load includes
  * @property isForwarded whether an instance of the receiving zone forwarded it
  */
 @Serializable
@@ -127,7 +130,7 @@
     @SerialName("n") override val sequence: Long,
     @SerialName("e") override val endpoint: String,
     @SerialName("z") override val zone: String,
-    @SerialName("c") val instances: Int,
+    @SerialName("c") val instanceCount: Int,
     @SerialName("w") val work: WorkByReplica,
     @SerialName("f") val isForwarded: Boolean = false,
     @SerialName("q") override val leaving: StartsByReplica = emptyMap(),
@@ -136,7 +139,7 @@
 /**
  * The load of all instances of all zones, sent to the instances of the sender's zone.
  *
- * @property instances number of instances in all zones that reported recently
+ * @property instanceCount number of instances in all zones that reported recently
  * @property members sequence number of the latest report that [work] includes, per instance of the zone
  * @property addresses endpoints of the members; omitted from most messages
  */
@@ -148,7 +151,7 @@
     @SerialName("n") override val sequence: Long,
     @SerialName("e") override val endpoint: String,
     @SerialName("z") override val zone: String,
-    @SerialName("c") val instances: Int,
+    @SerialName("c") val instanceCount: Int,
     @SerialName("w") val work: WorkByReplica,
     @SerialName("m") val members: Map<String, Long>,
     @SerialName("d") val addresses: Map<String, String> = emptyMap(),
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ReceivedLoads.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ReceivedLoads.kt
@@ -26,10 +26,10 @@
     val totals: FleetReport? get() = fleet?.takeIf(::isFresh)?.message
 
     /** The unexpired reports of individual instances. */
-    val instances: List<PeerReport> get() = reports.values.filter(::isFresh).map { it.message }
+    val freshReports: List<PeerReport> get() = reports.values.filter(::isFresh).map { it.message }
 
     /** The unexpired reports of individual instances in the local zone. */
-    val members: List<PeerReport> get() = instances.filter { it.zone == ownZone.value }
+    val localReports: List<PeerReport> get() = freshReports.filter { it.zone == ownZone.value }
 
     /** The unexpired sums of the other zones. */
     private val sums: List<ZoneReport> get() = zones.values.filter(::isFresh).map { it.message }
@@ -68,24 +68,25 @@
     fun senderOfSums(zone: ZoneName): String? = zones[zone.value]?.takeIf(::isFresh)?.message?.sender
 
     /**
-     * Returns the load of the other instances: reports from the local zone, and the sums of other zones where known.
+     * Returns the load of the other instances: reports from the local zone, and for each other zone its sums, or the
+     * reports of its instances if there are no sums.
      */
     fun work(): List<WorkByReplica> =
-        members.map { it.work } + sums.map { it.work } + instancesOfUnknownZones().map { it.work }
+        localReports.map { it.work } + sums.map { it.work } + reportsOfZonesWithoutSums().map { it.work }
 
     /** Returns the number of instances included in [work]. */
-    fun count(): Int = members.size + sums.sumOf { it.instances } + instancesOfUnknownZones().size
+    fun count(): Int = localReports.size + sums.sumOf { it.instanceCount } + reportsOfZonesWithoutSums().size
 
     /** Returns the replicas that announced that they are leaving, from the reports of instances and zones. */
     fun reportedLeaving(): StartsByReplica =
-        (instances + sums).fold(emptyMap()) { known, message -> known + message.leaving }
+        (freshReports + sums).fold(emptyMap()) { known, message -> known + message.leaving }
 
     /** Returns the replicas that announced that they are leaving, from all messages. */
     fun leaving(): StartsByReplica = reportedLeaving() + totals?.leaving.orEmpty()
 
-    private fun instancesOfUnknownZones(): List<PeerReport> {
+    private fun reportsOfZonesWithoutSums(): List<PeerReport> {
         val known = sums.map { it.zone } + ownZone.value
-        return instances.filter { it.zone !in known }
+        return freshReports.filter { it.zone !in known }
     }
 
     private fun isSuperseded(
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/RelayConfiguration.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/RelayConfiguration.kt
@@ -48,7 +48,7 @@
  * @property priority priority; 0 is the most urgent
  * @property maximumAttempts maximum number of replicas on which one request may be executed
  * @property isResumable whether a stream may be resumed after its last delivered event
- * @property eventGapMillis the longest pause between events that still meets the objective; 0 if there is no such
+ * @property eventGapMillis the longest interval between events that still meets the objective; 0 if there is no such
  *   objective
  */
 data class Route(
@@ -96,6 +96,7 @@
 /**
  * The capacity and capabilities of a model engine.
  *
+ * @property slots generations that run on one replica at the same time
  * @property memoryTokens tokens that fit into the memory of one replica
  * @property tokensPerEvent tokens in one event of a stream
  * @property supportsMigration whether a running generation's memory can be copied to another replica on request
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/Replica.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/Replica.kt
@@ -64,7 +64,7 @@
 
     private var pausedUntilMillis = Long.MIN_VALUE
 
-    /** Remaining time of the pause that the replica requested from this instance; not positive if not paused. */
+    /** Remaining time of the pause that the replica requested from this instance; 0 if it is not paused. */
     val remainingPauseMillis: Long get() = if (isPaused) pausedUntilMillis - clock.nowMillis() else 0
 
     val isPaused: Boolean get() = clock.nowMillis() < pausedUntilMillis
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaDirectory.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaDirectory.kt
@@ -25,7 +25,7 @@
  * Maintains the replicas by id. Confined to one thread.
  *
  * @param coldPhase from 0 to 1, chosen randomly by each instance; see [TokenBucket]
- * @param graceMillis how long an entry lost in an outage of the store is still used after the store is back
+ * @param graceMillis how long an entry lost in an outage of the store is still used after it is found missing
  */
 class ReplicaDirectory(
     private val clock: Clock,
@@ -33,7 +33,7 @@
     private val coldPhase: Double = 0.0,
 ) {
     private val replicas = LinkedHashMap<InstanceId, Replica>()
-    private val missingUntil = HashMap<InstanceId, Long>()
+    private val missingUntilMillis = HashMap<InstanceId, Long>()
     private val departures = Departures(clock)
     private val possiblyStale = LinkedHashMap<InstanceId, ReplicaEntry>()
 
@@ -58,7 +58,7 @@
     fun put(entry: ReplicaEntry) {
         val known = replicas[entry.id]
         if (known != null && departures.isSettling && entry.isEarlierStart(known.entry)) return
-        missingUntil.remove(entry.id)
+        missingUntilMillis.remove(entry.id)
         if (known == null && departures.mayBeStale(entry)) {
             possiblyStale[entry.id] = entry
             return
@@ -80,10 +80,10 @@
     ) {
         possiblyStale.remove(id)
         if (afterOutage && id in replicas) {
-            missingUntil.getOrPut(id) { clock.nowMillis() + graceMillis }
+            missingUntilMillis.getOrPut(id) { clock.nowMillis() + graceMillis }
             return
         }
-        missingUntil.remove(id)
+        missingUntilMillis.remove(id)
         val removed = replicas.remove(id) ?: return
         removed.leave(LeaveReason.REMOVED)
         departures.recordRemoval(removed)
@@ -129,9 +129,9 @@
     }
 
     private fun expire() {
-        if (missingUntil.isNotEmpty()) {
+        if (missingUntilMillis.isNotEmpty()) {
             val now = clock.nowMillis()
-            val gone = missingUntil.filterValues { it <= now }.keys
+            val gone = missingUntilMillis.filterValues { it <= now }.keys
             gone.toList().forEach { remove(it, afterOutage = false) }
         }
         if (possiblyStale.isNotEmpty() && !departures.isSettling) possiblyStale.values.toList().forEach(::put)
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaLoad.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaLoad.kt
@@ -67,7 +67,7 @@
     }
 
     /** Releases [tokens] of memory reserved by [reserve]. */
-    fun free(tokens: Long) {
+    fun release(tokens: Long) {
         this.tokens -= tokens
     }
 
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaPlacement.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaPlacement.kt
@@ -1,6 +1,6 @@
 /*
- * Placement of requests on replicas. A paused replica, which asked to receive no requests for a while, receives none;
- * its share goes to the other replicas only while they have capacity, to avoid a cascading overload.
+ * Placement of requests on replicas. A replica that requested a pause receives no requests until it ends; its share
+ * goes to the other replicas only while they have capacity, to avoid a cascading overload.
  */
 package io.sequoiawheel.core.relay
 
@@ -13,7 +13,7 @@
         val replica: Replica,
     ) : Placement
 
-    /** No replica is available now; the first paused replica accepts requests again after [retryAfterMillis]. */
+    /** No replica is available now; a paused replica accepts requests again after at most [retryAfterMillis]. */
     class Deferred(
         val retryAfterMillis: Long,
     ) : Placement
@@ -25,26 +25,28 @@
 /**
  * Places requests among the usable replicas of a service. Confined to one thread.
  *
- * @param mayStart consumes one request of the rate limit of a cold replica; always returns true for warm replicas
+ * @param tryAdmit consumes one request of the rate limit of a cold replica, or returns false if it is exhausted; always
+ *   returns true for warm replicas
  */
 class ReplicaPlacement(
     private val selection: ReplicaSelection,
     private val random: UniformRandomProvider,
-    private val mayStart: (Replica, RelayService) -> Boolean,
+    private val tryAdmit: (Replica, RelayService) -> Boolean,
 ) {
     /**
      * Places a plain call.
      *
-     * @param tried replicas already tried for this call; they are tried again only if [mayReturn]
+     * @param tried replicas already tried for this call
+     * @param mayReuseTried whether they may be tried again if there are no others
      */
     fun forCall(
         usable: List<Replica>,
         tried: Set<Replica>,
-        mayReturn: Boolean,
+        mayReuseTried: Boolean,
         service: RelayService,
     ): Placement {
-        val candidates = candidates(usable, tried, mayReturn) { it.hasRoomForCall() }
-        val ready = candidates.filter { mayStart(it, service) }
+        val candidates = candidates(usable, tried, mayReuseTried) { it.hasRoomForCall() }
+        val ready = candidates.filter { tryAdmit(it, service) }
         return place(selection.forCall(ready.ifEmpty { candidates.filter { !it.isCold } }), usable)
     }
 
@@ -56,21 +58,21 @@
         engine: EngineProfile,
         service: RelayService,
     ): Placement {
-        val candidates = candidates(usable, excluded, mayReturn = true) { it.hasRoomFor(demand, engine) }
-        val ready = candidates.filter { mayStart(it, service) }
+        val candidates = candidates(usable, excluded, mayReuseTried = true) { it.hasRoomFor(demand, engine) }
+        val ready = candidates.filter { tryAdmit(it, service) }
         return place(selection.forGeneration(ready, demand, engine), usable)
     }
 
     private fun candidates(
         usable: List<Replica>,
         excluded: Set<Replica>,
-        mayReturn: Boolean,
+        mayReuseTried: Boolean,
         hasRoom: (Replica) -> Boolean,
     ): List<Replica> {
-        val asked = usable.filter { !it.isPaused }
-        val fresh = asked.filter { it !in excluded }
-        val candidates = if (fresh.isEmpty() && mayReturn) asked else fresh
-        return if (asked.size == usable.size) candidates else candidates.filter(hasRoom)
+        val unpaused = usable.filter { !it.isPaused }
+        val untried = unpaused.filter { it !in excluded }
+        val candidates = if (untried.isEmpty() && mayReuseTried) unpaused else untried
+        return if (unpaused.size == usable.size) candidates else candidates.filter(hasRoom)
     }
 
     private fun place(
@@ -88,8 +90,8 @@
 
     private fun waitMillis(paused: List<Replica>): Long {
         val waitMillis = paused.minOf { it.remainingPauseMillis }
-        val spreadMillis = (waitMillis * SPREAD_SHARE).coerceAtLeast(MINIMUM_SPREAD_MILLIS)
-        return waitMillis + (random.nextDouble() * spreadMillis).toLong()
+        val jitterMillis = (waitMillis * JITTER_SHARE).coerceAtLeast(MINIMUM_JITTER_MILLIS)
+        return waitMillis + (random.nextDouble() * jitterMillis).toLong()
     }
 
     private fun Replica.hasRoomForCall() = load.totalRunning < entry.slots * CALLS_PER_SLOT
@@ -107,7 +109,7 @@
         const val CALLS_PER_SLOT = 2
 
         /** Jitter as a share of the wait, so that callers refused together do not retry at the same time. */
-        const val SPREAD_SHARE = 0.5
-        const val MINIMUM_SPREAD_MILLIS = 200.0
+        const val JITTER_SHARE = 0.5
+        const val MINIMUM_JITTER_MILLIS = 200.0
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaSelection.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/ReplicaSelection.kt
@@ -56,6 +56,7 @@
 
     private fun copyMemoryShare(isUrgent: Boolean) = if (isUrgent) URGENT_COPY_MEMORY_SHARE else COPY_MEMORY_SHARE
 
+    /** Returns the cost as a share of the memory of a replica. */
     private fun copyCost(
         replica: Replica,
         engine: EngineProfile,
@@ -63,7 +64,7 @@
         isUrgent: Boolean,
     ): Double {
         val zone = replica.entry.zone
-        val isWellPlaced =
+        val isInPreferredZone =
             when {
                 isUrgent -> zone == sourceZone
                 sourceZone == ownZone -> zone != ownZone
@@ -71,13 +72,14 @@
             }
         val zonePenalty =
             when {
-                isWellPlaced -> 0.0
+                isInPreferredZone -> 0.0
                 isUrgent -> URGENT_COPY_ZONE_COST_SHARE
                 else -> COPY_ZONE_COST_SHARE
             }
         return replica.load.totalTokens.toDouble() / engine.memoryTokens + zonePenalty + jitter() * JITTER_SHARE
     }
 
+    /** Returns the cost in milliseconds. */
     private fun callCost(replica: Replica): Double {
         val load = replica.load
         val slots = replica.entry.slots.coerceAtLeast(1)
@@ -90,6 +92,7 @@
             failurePenalty + zonePenalty + coldPenalty + jitter()
     }
 
+    /** Returns the cost as a share of the memory of a replica. */
     private fun generationCost(
         replica: Replica,
         demand: GenerationDemand,
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/SentReports.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/SentReports.kt
@@ -5,11 +5,11 @@
     private val reports = ArrayDeque<PeerReport>()
 
     /** The work in the latest report. */
-    val newest: WorkByReplica get() = reports.lastOrNull()?.work.orEmpty()
+    val latestWork: WorkByReplica get() = reports.lastOrNull()?.work.orEmpty()
 
     fun add(report: PeerReport) {
         reports.addLast(report)
-        if (reports.size > KEPT) reports.removeFirst()
+        if (reports.size > MAXIMUM_KEPT) reports.removeFirst()
     }
 
     /** Returns the work in the report with [sequence], or null if it is no longer retained. */
@@ -17,6 +17,6 @@
 
     private companion object {
         /** Three seconds at ten reports per second, the lifetime of a total. */
-        const val KEPT = 32
+        const val MAXIMUM_KEPT = 32
     }
 }
--- a/core/src/main/kotlin/io/sequoiawheel/core/relay/SlidingWindowRetryBudget.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/relay/SlidingWindowRetryBudget.kt
@@ -1,6 +1,6 @@
 /*
  * Limits retries to the replicas of a service across all instances without coordination. The part proportional to the
- * requests adds up across instances; the fixed part is divided by the largest number of instances.
+ * requests adds up across instances; the fixed part is divided by an upper estimate of the number of instances.
  */
 package io.sequoiawheel.core.relay
 
@@ -43,7 +43,7 @@
     }
 
     private companion object {
-        /** Safety margin, since requests and their retries may fall into different windows of the observer. */
+        /** Safety margin, since a request and its retry may fall into different windows where they are counted. */
         const val SAFETY_SHARE = 0.8
     }
 }
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/DeliveryTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/DeliveryTest.kt
@@ -6,7 +6,7 @@
 class DeliveryTest {
     @Test
     fun `an event sent by two replicas is delivered once`() {
-        val delivery = Delivery(firstAfter = null)
+        val delivery = Delivery(resumeAfter = null)
         val decisions = listOf(1L, 2L, 2L, 1L, 3L).map(delivery::decide)
         assertEquals(
             listOf(
@@ -23,7 +23,7 @@
 
     @Test
     fun `an event after a gap is not delivered`() {
-        val delivery = Delivery(firstAfter = 4)
+        val delivery = Delivery(resumeAfter = 4)
         assertEquals(DeliveryDecision.GAP, delivery.decide(6))
         assertEquals(DeliveryDecision.DELIVER, delivery.decide(5))
     }
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/LargeFleetTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/LargeFleetTest.kt
@@ -119,7 +119,7 @@
     /** Returns the error of the other instances' tokens as known to [member], relative to their actual total. */
     fun error(member: Member): Double {
         member.exchange.apply(directory)
-        val real = alive.filter { it !== member }.map { it.work }.total()
+        val real = alive.filter { it !== member }.map { it.work }.sumByReplica()
         val wrong =
             directory.sumOf { replica ->
                 val expected = real[replica.entry.id.value]?.tokens ?: 0
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/LoadExchangeTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/LoadExchangeTest.kt
@@ -111,7 +111,7 @@
         val work = mapOf("engine" to PeerWork(2, 300, 70))
         val messages =
             listOf(
-                PeerReport("a", 1, 2, "10.0.0.1:1", work, isLeaving = true, zone = "east", wantsSums = true),
+                PeerReport("a", 1, 2, "10.0.0.1:1", work, isLeaving = true, zone = "east", wantsTotals = true),
                 ZoneReport("a", 1, 2, "10.0.0.1:1", "east", 19, work),
                 FleetReport("a", 1, 2, "10.0.0.1:1", "east", 95, work, mapOf("b" to 7), mapOf("b" to "10.0.0.2:1")),
             )
--- a/core/src/test/kotlin/io/sequoiawheel/core/relay/ReplicaPlacementTest.kt
+++ b/core/src/test/kotlin/io/sequoiawheel/core/relay/ReplicaPlacementTest.kt
@@ -25,7 +25,7 @@
     private fun call(
         usable: List<Replica>,
         tried: Set<Replica> = emptySet(),
-    ) = placement.forCall(usable, tried, mayReturn = true, service)
+    ) = placement.forCall(usable, tried, mayReuseTried = true, service)
 
     @Test
     fun `calls avoid a paused replica until its pause ends`() {
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/ChangeHub.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/ChangeHub.kt
@@ -19,7 +19,7 @@
     val kind: StoreKind,
 ) {
     private val history = ChangeHistory<StoreEvent>()
-    private var advance = CompletableDeferred<Unit>()
+    private var nextUpdate = CompletableDeferred<Unit>()
 
     /** The era of the store that the revisions belong to. */
     var era: Long? = null
@@ -83,11 +83,11 @@
     fun after(revision: Long): List<StoreEvent>? = history.after(revision)
 
     /** Waits until the feed receives changes, is confirmed as current, or stops. */
-    suspend fun awaitAdvance() = advance.await()
+    suspend fun awaitUpdate() = nextUpdate.await()
 
     private fun notifyWaiters() {
-        val previous = advance
-        advance = CompletableDeferred()
+        val previous = nextUpdate
+        nextUpdate = CompletableDeferred()
         previous.complete(Unit)
     }
 }
@@ -110,7 +110,7 @@
         selection.recordWatcher()
         val received = freshness.now()
         withTimeoutOrNull(query.waitMillis) {
-            while (feed.isServing && !isResponseDue(feed, query, received)) feed.awaitAdvance()
+            while (feed.isServing && !isResponseDue(feed, query, received)) feed.awaitUpdate()
         }
         if (!feed.isServing) return StatusResponse(HttpResponseStatus.SERVICE_UNAVAILABLE)
         val retained = feed.takeIf { it.era == query.era }?.after(query.revision)
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/ConfigurationController.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/ConfigurationController.kt
@@ -40,7 +40,7 @@
 
     override fun onListed(
         listing: StoreListing,
-        standing: ListReliability,
+        reliability: ListReliability,
     ) {
         era = listing.era
         order.enterEra(era)
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Waits up to [CONFIRMATION_WAIT_MILLIS] for a confirmation that the configuration is current, and reads the store
-     * for it, since a clock step may have invalidated the last one. Returns whether the configuration is fresh.
+     * Returns whether the configuration is fresh. If it is not, for example because a clock step invalidated its last
+     * confirmation, reads the store and waits up to [CONFIRMATION_WAIT_MILLIS] for a new confirmation.
      */
     suspend fun awaitFresh(): Boolean {
         if (freshness.isFresh()) return true
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/KindWatcher.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/KindWatcher.kt
@@ -22,10 +22,10 @@
 
 /** Receives the state of one kind of store object, and its changes, from a [KindWatcher]. */
 internal interface KindListener {
-    /** Called with all objects of the kind. [standing] says whether entries may be missing or out of date. */
+    /** Called with all objects of the kind. [reliability] says whether entries may be missing or out of date. */
     fun onListed(
         listing: StoreListing,
-        standing: ListReliability,
+        reliability: ListReliability,
     )
 
     /** Called for each change. [afterOutage] is true if the store was unavailable until a moment ago. */
@@ -84,7 +84,7 @@
                 continue
             }
             recordSuccess()
-            listener.onListed(listing, standing(listing.era))
+            listener.onListed(listing, reliabilityOf(listing.era))
             isListed = true
             era = listing.era
             listener.onConfirmed(asOf)
@@ -100,14 +100,14 @@
         pendingWatch?.cancel()
     }
 
-    private fun standing(listedEra: Long?) =
+    private fun reliabilityOf(listedEra: Long?) =
         when {
             isListed && listedEra != era -> ListReliability.NEW_ERA
             isAfterOutage() -> ListReliability.AFTER_OUTAGE
             else -> ListReliability.CERTAIN
         }
 
-    /** Watches until the history after the last revision is gone, or the store was restored from an older copy. */
+    /** Watches until the history after the last revision is gone, or the store was restored from an older snapshot. */
     private suspend fun watchFrom(start: Long) {
         var revision = start
         while (sources.era == era) {
@@ -119,7 +119,7 @@
             }
             if (consecutiveFailures < STORE_LOST_FAILURES) feed.resume(revision, lastConfirmedAt, era)
             val asOf = freshness.now()
-            val waitMillis = waitMillis(isForHub = sources.isHub)
+            val waitMillis = waitMillis(isHubInvolved = sources.isHub)
             val changes =
                 watch { sources.store.watch(kind, revision, waitMillis) }.fold({ failure ->
                     if (failure is StoreFailure.HistoryGone) {
@@ -156,7 +156,7 @@
         isJustListed: Boolean,
     ): Long? {
         val asOf = freshness.now()
-        val waitMillis = waitMillis(isForHub = true)
+        val waitMillis = waitMillis(isHubInvolved = true)
         val changes =
             watch { sources.watch(hub, kind, revision, waitMillis, era) }
                 .getOrElse { failure ->
@@ -191,11 +191,11 @@
     }
 
     /**
-     * Returns how long the response to a watch may be delayed. The probe uses a shorter wait between a hub and the
-     * instances that watch it.
+     * Returns how long the response to a watch may be delayed. The probe uses a shorter wait in the watches of
+     * a hub and of the instances that watch it.
      */
-    private fun waitMillis(isForHub: Boolean) =
-        if (isProbe && isForHub) minOf(waitMillis, HUB_WAIT_MILLIS) else waitMillis
+    private fun waitMillis(isHubInvolved: Boolean) =
+        if (isProbe && isHubInvolved) minOf(waitMillis, HUB_WAIT_MILLIS) else waitMillis
 
     private suspend fun watch(
         call: suspend () -> Either<StoreFailure, StoreChanges>,
@@ -254,7 +254,8 @@
         const val CHANGE_BATCH_MILLIS = 30L
 
         /**
-         * A single failure is usually a watch that the store closed, or a late response; the next call follows at once.
+         * Consecutive failures after which the store counts as lost. A single failure is usually a watch that the store
+         * closed, or a late response; the next call follows at once.
          */
         const val STORE_LOST_FAILURES = 2
 
@@ -264,7 +265,10 @@
          */
         const val HUB_WAIT_MILLIS = 1_000L
 
-        /** A hub that nobody watched yet confirms its state every 2.4 s; one that is further behind lost the store. */
+        /**
+         * A hub that no instance watches yet confirms its state every 2.4 s, the maximum wait of its own watch of the
+         * configuration; one that is further behind lost the store.
+         */
         const val STALE_HUB_MILLIS = 3_000L
 
         /**
@@ -274,7 +278,10 @@
         const val INITIAL_BACKOFF_MILLIS = 60L
         const val MAXIMUM_BACKOFF_MILLIS = 700L
 
-        /** A listing and a write take a few milliseconds; after this time the instance watches the store itself. */
+        /**
+         * Registering the instance and listing the others take a few milliseconds; after this time the instance watches
+         * the store itself.
+         */
         const val PEER_DISCOVERY_TIMEOUT_MILLIS = 400L
 
         /** Limits the wait for the probe, since the store may serve one kind of object and not another. */
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/PeerController.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/PeerController.kt
@@ -46,7 +46,7 @@
     var bytesSent = 0L
         private set
 
-    /** Starts to listen for reports of other instances. */
+    /** Starts to listen for load messages of other instances. */
     suspend fun start(eventLoop: EventLoop) {
         val bound =
             Bootstrap()
@@ -95,14 +95,14 @@
         store.delete(StoreKind.ENTRY_INSTANCES, self.name)
     }
 
-    private fun send(batches: List<OutgoingMessage>) {
+    private fun send(messages: List<OutgoingMessage>) {
         val target = channel ?: return
-        for (batch in batches) {
-            if (batch.destinations.isEmpty()) continue
-            val bytes = batch.message.encode().toByteArray()
-            datagramsSent += batch.destinations.size
-            bytesSent += batch.destinations.size.toLong() * bytes.size
-            for (destination in batch.destinations) {
+        for (outgoing in messages) {
+            if (outgoing.destinations.isEmpty()) continue
+            val bytes = outgoing.message.encode().toByteArray()
+            datagramsSent += outgoing.destinations.size
+            bytesSent += outgoing.destinations.size.toLong() * bytes.size
+            for (destination in outgoing.destinations) {
                 val address = InetSocketAddress(destination.host, destination.port)
                 target.write(DatagramPacket(Unpooled.wrappedBuffer(bytes), address), target.voidPromise())
             }
@@ -121,7 +121,7 @@
                 try {
                     PeerMessage.decode(String(bytes))
                 } catch (unreadable: SerializationException) {
-                    log.stateChange("peer report unreadable", mapOf("detail" to unreadable.message))
+                    log.stateChange("peer message unreadable", mapOf("detail" to unreadable.message))
                     return
                 }
             send(exchange.receive(message))
@@ -131,8 +131,8 @@
             context: ChannelHandlerContext,
             cause: Throwable,
         ) {
-            // The socket reports a destination without a listener; its missing reports reveal the same, so a log line
-            // is enough.
+            // The destination has no listener. It counts as terminated once its load messages are missing, so a log
+            // line is enough.
             log.stateChange("peer datagram failed", mapOf("detail" to cause.message))
         }
     }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/ReplicaController.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/ReplicaController.kt
@@ -18,12 +18,12 @@
 ) : KindListener {
     override fun onListed(
         listing: StoreListing,
-        standing: ListReliability,
+        reliability: ListReliability,
     ) {
-        directory.replaceAll(listing.objects.mapNotNull(::decode), standing)
+        directory.replaceAll(listing.objects.mapNotNull(::decode), reliability)
         log.stateChange(
             "replicas listed",
-            mapOf("entries" to listing.objects.size, "standing" to standing.name, "era" to listing.era),
+            mapOf("entries" to listing.objects.size, "standing" to reliability.name, "era" to listing.era),
         )
     }
 
@@ -68,10 +68,10 @@
 ) : KindListener {
     override fun onListed(
         listing: StoreListing,
-        standing: ListReliability,
+        reliability: ListReliability,
     ) = loggingZoneChanges {
         val zones = listing.objects.filter { !it.isBeingDeleted }.mapTo(HashSet()) { ZoneName(it.name) }
-        directory.evacuations.replaceAll(zones, standing)
+        directory.evacuations.replaceAll(zones, reliability)
     }
 
     override fun onChanged(
@@ -80,7 +80,7 @@
     ) = loggingZoneChanges {
         directory.evacuations.set(
             ZoneName(event.target.name),
-            isOut = !event.isDeleted && !event.target.isBeingDeleted,
+            isEvacuated = !event.isDeleted && !event.target.isBeingDeleted,
         )
     }
 
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/StoreClient.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/StoreClient.kt
@@ -206,7 +206,7 @@
         } catch (failure: IOException) {
             return StoreFailure.Unavailable(failure.message ?: failure.javaClass.simpleName).left()
         } finally {
-            connection?.let { if (isResponseComplete) recycle(target, it) else it.abort() }
+            connection?.let { if (isResponseComplete) returnToIdle(target, it) else it.abort() }
         }
     }
 
@@ -234,7 +234,7 @@
         return connector.connect(target)
     }
 
-    private fun recycle(
+    private fun returnToIdle(
         target: Endpoint,
         connection: BackendConnection,
     ) {
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/CallRelay.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/CallRelay.kt
@@ -31,7 +31,7 @@
         val detail: String,
     ) : AttemptResult
 
-    /** The replica started leaving or requested backoff before the call was sent, so nothing was sent. */
+    /** The replica started leaving or requested a pause before the call was sent, so nothing was sent. */
     data object ReplicaUnavailable : AttemptResult
 
     /** The call may have run, but no valid response arrived. */
@@ -89,10 +89,10 @@
                     return
                 }
                 val replica = placement.replica
-                if (triedReplicas.isEmpty()) context.retryAllowance(service.name).recordRequest()
+                if (triedReplicas.isEmpty()) context.retryBudget(service.name).recordRequest()
                 triedReplicas += replica
-                val attempt = attempt(replica)
-                if (handleResult(attempt)) return
+                val result = attempt(replica)
+                if (handleResult(result)) return
             }
         }
 
@@ -102,26 +102,26 @@
             return true
         }
 
-        /** Answers the caller if [attempt] is final. Returns false if the call is to be attempted again. */
-        private suspend fun handleResult(attempt: AttemptResult): Boolean {
-            when (attempt) {
+        /** Answers the caller if [result] is final. Returns false if the call is to be attempted again. */
+        private suspend fun handleResult(result: AttemptResult): Boolean {
+            when (result) {
                 is AttemptResult.Responded -> {
                     runs++
-                    val failed = attempt.head.status().code() >= SERVER_ERROR
+                    val failed = result.head.status().code() >= SERVER_ERROR
                     if (failed && mayRetry()) {
-                        earlierResponse = attempt
+                        earlierResponse = result
                         return false
                     }
-                    deliver(attempt)
+                    deliver(result)
                 }
 
                 is AttemptResult.NotRun -> {
-                    if (attempt.proof == NotRunProof.REFUSED_BY_REPLICA && !mayRetryRefused()) {
-                        giveUp(attempt)
+                    if (result.proof == NotRunProof.REFUSED_BY_REPLICA && !mayRetryRefused()) {
+                        giveUp(result)
                     } else if (refusals++ < MAXIMUM_REFUSED_RETRIES) {
                         return false
                     } else {
-                        giveUp(attempt)
+                        giveUp(result)
                     }
                 }
 
@@ -130,7 +130,7 @@
                 is AttemptResult.Unknown -> {
                     runs++
                     if (mayRetry()) return false
-                    giveUp(attempt)
+                    giveUp(result)
                 }
             }
             return true
@@ -140,31 +140,31 @@
             route.isRepeatable &&
                 runs < route.maximumAttempts &&
                 hasTimeLeft() &&
-                context.retryAllowance(service.name).tryRetry()
+                context.retryBudget(service.name).tryRetry()
 
-        private fun mayRetryRefused(): Boolean = hasTimeLeft() && context.retryAllowance(service.name).tryRetry()
+        private fun mayRetryRefused(): Boolean = hasTimeLeft() && context.retryBudget(service.name).tryRetry()
 
         private fun hasTimeLeft() = exchange.deadlineMillis - context.clock.nowMillis() > MINIMUM_RETRY_TIME_MILLIS
 
         private fun place(): Placement {
             val usable = context.directory.usable(service.name)
-            return context.placement.forCall(usable, triedReplicas, mayReturn = earlierResponse == null, service)
+            return context.placement.forCall(usable, triedReplicas, mayReuseTried = earlierResponse == null, service)
         }
 
-        private suspend fun giveUp(attempt: AttemptResult) {
+        private suspend fun giveUp(result: AttemptResult) {
             val response = earlierResponse
-            val hintMillis = context.retryAfterMillis(service) ?: retryAfterMillis
+            val callerRetryAfterMillis = context.retryAfterMillis(service) ?: retryAfterMillis
             when {
                 response != null -> deliver(response)
-                runs > 0 -> exchange.fail(ResultCode.OUTCOME_UNKNOWN, describe(attempt))
-                attempt is AttemptResult.NotRun ->
-                    exchange.refuse(attempt.proof, resultCodeOf(attempt), attempt.detail, hintMillis)
-                else -> exchange.fail(ResultCode.OUTCOME_UNKNOWN, describe(attempt))
+                runs > 0 -> exchange.fail(ResultCode.OUTCOME_UNKNOWN, describe(result))
+                result is AttemptResult.NotRun ->
+                    exchange.refuse(result.proof, resultCodeOf(result), result.detail, callerRetryAfterMillis)
+                else -> exchange.fail(ResultCode.OUTCOME_UNKNOWN, describe(result))
             }
         }
 
-        private fun resultCodeOf(attempt: AttemptResult.NotRun) =
-            when (attempt.proof) {
+        private fun resultCodeOf(result: AttemptResult.NotRun) =
+            when (result.proof) {
                 NotRunProof.NOTHING_SENT -> ResultCode.NO_REPLICA
                 NotRunProof.REFUSED_BY_REPLICA -> ResultCode.BACKEND_REFUSED
             }
@@ -176,12 +176,12 @@
             exchange.response.sendComplete(response.head.status(), requests.callerHeaders(response.head), response.body)
         }
 
-        private fun describe(attempt: AttemptResult) =
-            when (attempt) {
-                is AttemptResult.Responded -> "status ${attempt.head.status()}"
-                is AttemptResult.NotRun -> attempt.detail
+        private fun describe(result: AttemptResult) =
+            when (result) {
+                is AttemptResult.Responded -> "status ${result.head.status()}"
+                is AttemptResult.NotRun -> result.detail
                 is AttemptResult.ReplicaUnavailable -> "the replica no longer accepts calls"
-                is AttemptResult.Unknown -> attempt.detail
+                is AttemptResult.Unknown -> result.detail
             }
 
         private suspend fun attempt(replica: Replica): AttemptResult {
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationAttempt.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationAttempt.kt
@@ -19,7 +19,7 @@
 import kotlinx.coroutines.launch
 import java.io.IOException
 
-/** An event for a [GenerationRun], sent by one of its attempts, by a copy job or by a replica that is leaving. */
+/** A notification to a [GenerationRun], sent by one of its attempts, by a copy job or by a replica that is leaving. */
 internal sealed interface GenerationSignal {
     val attempt: GenerationAttempt
 
@@ -50,7 +50,7 @@
      * The replica did not run the request.
      *
      * @property isUnavailable whether nothing was sent because the replica was leaving, its zone was evacuated, or it
-     *     had requested backoff
+     *     had requested a pause
      */
     class NotRun(
         override val attempt: GenerationAttempt,
@@ -87,6 +87,7 @@
  * its reserved load when it ends.
  *
  * @property backup the replica that is to receive a continuously updated copy of the run, or null
+ * @param headers headers to add to the caller's request
  */
 internal class GenerationAttempt(
     private val context: RelayContext,
@@ -166,19 +167,19 @@
     private fun releaseResources() {
         finishPrefill()
         replica.load.end(demand.tokens)
-        backup?.load?.free(demand.tokens)
+        backup?.load?.release(demand.tokens)
         connection?.let { if (isExchangeComplete) context.pool.release(replica, it) else it.abort() }
     }
 
     /**
      * Waits until a replica that holds a copy of the run accepts requests again, if that is soon enough for the caller.
      */
-    private suspend fun awaitBackoffEnd() {
-        if (!needsPrefill) delay(replica.remainingPauseMillis.takeIf { it <= MAXIMUM_BACKOFF_WAIT_MILLIS } ?: 0)
+    private suspend fun awaitPauseEnd() {
+        if (!needsPrefill) delay(replica.remainingPauseMillis.takeIf { it <= MAXIMUM_PAUSE_WAIT_MILLIS } ?: 0)
     }
 
     private suspend fun sendAndReceive() {
-        awaitBackoffEnd()
+        awaitPauseEnd()
         val opened = context.pool.acquire(replica, mustBeRecent = true)
         connection = opened
         if (!opened.isOpen) {
@@ -245,8 +246,8 @@
     private companion object {
         val SUCCESS = 200..299
 
-        /** Streaming callers time out after a pause of two seconds at the earliest. */
-        const val MAXIMUM_BACKOFF_WAIT_MILLIS = 1_500L
+        /** Streaming callers time out after two seconds without an event at the earliest. */
+        const val MAXIMUM_PAUSE_WAIT_MILLIS = 1_500L
 
         /** A few hundred events: a restarted run may resend that many before the first new one. */
         const val MAXIMUM_STALE_BYTES = 262_144
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationRun.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/GenerationRun.kt
@@ -1,9 +1,10 @@
 /*
- * Runs one generation from its placement to its last event. The caller receives a single response, with the headers of
- * the first replica's response. When the replica leaves, stalls or loses its connection, the run continues on another
- * replica: from a copy of its KV cache if there is one, or by sending the request again if the route allows it. Events
- * of the old replica are delivered until the new replica's stream starts, so that a planned move causes no pause. Then
- * the old connection is closed, which stops the run there.
+ * Runs one generation from its placement to its last event. A run is the execution of the generation by a replica. The
+ * caller receives a single response, with the headers of the first replica's response. When the replica leaves, stalls
+ * or loses its connection, the run continues on another replica: from a copy of its KV cache if there is one, or by
+ * sending the request again if the route allows it. Events of the old replica are delivered until the new replica's
+ * stream starts, so that a planned move does not interrupt the stream. Then the old connection is closed, which stops
+ * the run there.
  */
 package io.sequoiawheel.relay.serving
 
@@ -35,7 +36,7 @@
     private val requests = BackendRequests(context.clock)
     private val signals = SignalQueue<GenerationSignal>()
     private val demand = exchange.demand
-    private val pauses = DeliveryPauses(context.clock, exchange.request.receivedAtMillis)
+    private val timing = DeliveryTiming(context.clock, exchange.request.receivedAtMillis)
     private val delivery =
         Delivery(
             exchange.request.headers
@@ -57,8 +58,15 @@
     private var successor: GenerationAttempt? = null
     private var copyJob: Job? = null
     private var leavingJob: Job? = null
+
+    /**
+     * Replicas that did not run the request, lost its connection or were replaced by a successor; the request returns
+     * to them only if there is no other.
+     */
     private val abandoned = LinkedHashSet<Replica>()
     private val usedBackups = HashSet<Replica>()
+
+    /** Number of attempts that a replica may have executed, without those that continued from a copy. */
     private var runs = 0
     private var refusals = 0
     private var moveCount = 0
@@ -71,14 +79,14 @@
             refuse(NotRunProof.NOTHING_SENT, ResultCode.NO_REPLICA, "no replica of ${service.name} accepts generations")
             return
         }
-        context.retryAllowance(service.name).recordRequest()
+        context.retryBudget(service.name).recordRequest()
         while (!isFinished) {
             val signal = signals.receiveWithin(STALL_CHECK_MILLIS)
             if (signal == null) checkForStall() else handle(signal)
         }
         exchange.logFields["moves"] = moveCount.takeIf { it > 0 }
         exchange.logFields["events"] = delivery.delivered
-        exchange.logFields += pauses.logFields()
+        exchange.logFields += timing.logFields()
         exchange.logFields["replica"] = current?.replica.toString()
     }
 
@@ -92,11 +100,11 @@
 
     private suspend fun handle(signal: GenerationSignal) {
         when (signal) {
-            is GenerationSignal.Started -> started(signal.attempt, signal.head)
-            is GenerationSignal.Failed -> failed(signal)
-            is GenerationSignal.NotRun -> if (!discardSuccessor(signal.attempt, signal.detail)) notRun(signal)
+            is GenerationSignal.Started -> handleStarted(signal.attempt, signal.head)
+            is GenerationSignal.Failed -> handleFailed(signal)
+            is GenerationSignal.NotRun -> if (!discardSuccessor(signal.attempt, signal.detail)) handleNotRun(signal)
             is GenerationSignal.ConnectionFailed ->
-                if (!discardSuccessor(signal.attempt, signal.detail)) connectionFailed(signal)
+                if (!discardSuccessor(signal.attempt, signal.detail)) handleConnectionFailed(signal)
             else -> if (signal.attempt === current || signal.attempt === attemptAwaitingCopy) handleCurrent(signal)
         }
     }
@@ -105,7 +113,7 @@
         when (signal) {
             is GenerationSignal.Event -> deliver(signal)
             is GenerationSignal.Completed -> complete()
-            is GenerationSignal.ReplicaLeaving -> replicaLeaving(signal)
+            is GenerationSignal.ReplicaLeaving -> handleReplicaLeaving(signal)
             is GenerationSignal.CopyReady -> if (successor == null) continueFrom(signal.copy)
             is GenerationSignal.CopyFailed -> {
                 exchange.logFields["copyFailed"] = signal.detail
@@ -132,7 +140,7 @@
         return true
     }
 
-    private fun started(
+    private fun handleStarted(
         attempt: GenerationAttempt,
         head: HttpResponse,
     ) {
@@ -167,7 +175,7 @@
         when (delivery.decide(signal.event.id)) {
             DeliveryDecision.DELIVER -> {
                 if (signal.event.id != null) signal.attempt.recordProgress()
-                pauses.recordDelivery(signal.event.id)
+                timing.recordDelivery(signal.event.id)
                 exchange.response.write(signal.event.bytes)
             }
 
@@ -185,7 +193,7 @@
     }
 
     /** Forwards a replica's error response unchanged, unless the request is retried or the stream has started. */
-    private suspend fun failed(signal: GenerationSignal.Failed) {
+    private suspend fun handleFailed(signal: GenerationSignal.Failed) {
         if (discardSuccessor(signal.attempt, "${signal.attempt.replica} responded with ${signal.head.status()}")) return
         if (signal.attempt !== current) return
         runs++
@@ -208,7 +216,7 @@
         exchange.response.sendComplete(signal.head.status(), requests.callerHeaders(signal.head), signal.body)
     }
 
-    private suspend fun notRun(signal: GenerationSignal.NotRun) {
+    private suspend fun handleNotRun(signal: GenerationSignal.NotRun) {
         if (signal.attempt !== current) return
         if (signal.proof == NotRunProof.NOTHING_SENT && !signal.isUnavailable) signal.attempt.replica.markUnreachable()
         if (runs == 0 && delivery.delivered == 0) exchange.mayHaveRun = false
@@ -225,9 +233,9 @@
     private fun mayRetryElsewhere(signal: GenerationSignal.NotRun): Boolean =
         signal.isUnavailable ||
             refusals++ < MAXIMUM_REFUSED_RETRIES &&
-            (signal.proof == NotRunProof.NOTHING_SENT || context.retryAllowance(service.name).tryRetry())
+            (signal.proof == NotRunProof.NOTHING_SENT || context.retryBudget(service.name).tryRetry())
 
-    private suspend fun connectionFailed(signal: GenerationSignal.ConnectionFailed) {
+    private suspend fun handleConnectionFailed(signal: GenerationSignal.ConnectionFailed) {
         if (signal.attempt !== current) return
         val attempt = signal.attempt
         attempt.replica.load.recordOutcome(failed = true)
@@ -257,9 +265,9 @@
         fail(if (exchange.response.isStarted) ResultCode.STREAM_INTERRUPTED else ResultCode.OUTCOME_UNKNOWN, detail)
     }
 
-    private fun mayRetry() = runs < route.maximumAttempts && context.retryAllowance(service.name).tryRetry()
+    private fun mayRetry() = runs < route.maximumAttempts && context.retryBudget(service.name).tryRetry()
 
-    private fun replicaLeaving(signal: GenerationSignal.ReplicaLeaving) {
+    private fun handleReplicaLeaving(signal: GenerationSignal.ReplicaLeaving) {
         exchange.logFields["left"] = signal.reason.name
         if (!continueFromBackup(signal.attempt)) migrate(signal.attempt)
     }
@@ -370,7 +378,7 @@
         /** Interval between checks of a stream that delivers no events. */
         const val STALL_CHECK_MILLIS = 150L
 
-        /** Several times the longest pause between events that still meets the latency target. */
+        /** Several times the longest interval between events that still meets the latency objective. */
         const val STALL_MILLIS = 700L
     }
 }
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/RelayContext.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/RelayContext.kt
@@ -29,14 +29,14 @@
     private val bounds: ServiceBounds,
     private val instanceCount: () -> Int,
 ) {
-    private val retryAllowances = HashMap<ServiceName, SlidingWindowRetryBudget>()
+    private val retryBudgets = HashMap<ServiceName, SlidingWindowRetryBudget>()
 
     /** Selects the replica for each request. */
     val placement = ReplicaPlacement(selection, random, ::tryAdmit)
 
     /** Returns the limit on the retries that this instance may send to [service]. */
-    fun retryAllowance(service: ServiceName): SlidingWindowRetryBudget =
-        retryAllowances.getOrPut(service) {
+    fun retryBudget(service: ServiceName): SlidingWindowRetryBudget =
+        retryBudgets.getOrPut(service) {
             SlidingWindowRetryBudget(clock, bounds.retryRatio, ::extraRetriesPerInstance, bounds.retryWindowMillis)
         }
 
@@ -63,7 +63,7 @@
         excluded: Set<Replica>,
     ): List<Replica> = directory.usable(service.name).filter { it !in excluded && !it.isPaused }
 
-    /** Returns the delay before callers should retry if all replicas of [service] requested backoff, or null if not. */
+    /** Returns the delay before callers should retry if all replicas of [service] requested a pause, or null if not. */
     fun retryAfterMillis(service: RelayService): Long? = placement.retryAfterMillis(directory.usable(service.name))
 
     /** Whether a request may be sent to [replica] now. */
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
@@ -25,9 +25,15 @@
         notice.coldForMillis?.let(replica::coldFor)
         if (notice.isLeaving) markLeaving(replica, head)
         notice.unreadable?.let { value ->
-            log.stateChange("unreadable retry delay of a replica", mapOf("replica" to replica.toString(), "value" to value))
+            log.stateChange(
+                "unreadable retry delay of a replica",
+                mapOf(
+                    "replica" to replica.toString(),
+                    "value" to value,
+                ),
+            )
         }
-        notice.quietMillis?.let { backOffFrom(replica, head, it) }
+        notice.quietMillis?.let { pause(replica, head, it) }
     }
 
     private fun markLeaving(
@@ -48,7 +54,7 @@
         )
     }
 
-    private fun backOffFrom(
+    private fun pause(
         replica: Replica,
         head: HttpResponse,
         millis: Long,
@@ -56,7 +62,7 @@
         if (millis > replica.remainingPauseMillis) {
             metrics.count("replica.notices", "quiet")
             log.stateChange(
-                "replica requested backoff",
+                "replica requested a pause",
                 mapOf(
                     "replica" to replica.toString(),
                     "milliseconds" to millis,
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/RunCopier.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/RunCopier.kt
@@ -76,18 +76,18 @@
         val engine = service.engine ?: return CopyResult.Refused("service ${service.name} has no model engine")
         val source = attempt.replica
         var result: CopyResult = CopyResult.Refused("no replica has room for a copy")
-        val fullReplicas = HashSet<Replica>()
+        val refusingReplicas = HashSet<Replica>()
         repeat(COPY_ATTEMPTS) {
-            val candidates = context.copyCandidates(service, excluded + source + fullReplicas)
+            val candidates = context.copyCandidates(service, excluded + source + refusingReplicas)
             val destination =
                 context.selection.forCopy(candidates, demand, engine, source.entry.zone, isUrgent = true)
                     ?: context.selection.forGeneration(candidates, demand, engine)
             if (destination != null) result = copyAndCatchUp(requestId, source, destination)
             if (result is CopyResult.Copied || attempt.isFinished) return result
             if (destination != null && result is CopyResult.Refused) {
-                fullReplicas += destination
+                refusingReplicas += destination
             } else {
-                fullReplicas.clear()
+                refusingReplicas.clear()
                 delay(COPY_RETRY_DELAY_MILLIS)
             }
         }
@@ -103,7 +103,7 @@
         source: Replica,
         destination: Replica,
     ): CopyResult {
-        if (source.isPaused) return CopyResult.Refused("$source requested backoff")
+        if (source.isPaused) return CopyResult.Refused("$source requested a pause")
         val startedMillis = context.clock.nowMillis()
         val first = copy(requestId, source, destination)
         val firstMillis = context.clock.nowMillis() - startedMillis
