--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
@@ -33,7 +33,7 @@
                 ),
             )
         }
-        notice.pauseMillis?.let { backOffFrom(replica, head, it) }
+        notice.pauseMillis?.let { pause(replica, head, it) }
     }
 
     private fun markLeaving(
@@ -54,7 +54,7 @@
         )
     }
 
-    private fun backOffFrom(
+    private fun pause(
         replica: Replica,
         head: HttpResponse,
         millis: Long,
@@ -62,7 +62,7 @@
         if (millis > replica.remainingPauseMillis) {
             metrics.count("replica.notices", "quiet")
             log.stateChange(
-                "replica requested backoff",
+                "replica requested a pause",
                 mapOf(
                     "replica" to replica.toString(),
                     "milliseconds" to millis,
