--- a/cli/src/main/kotlin/io/sequoiawheel/cli/StandInsCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/StandInsCommand.kt
@@ -69,7 +69,7 @@
             } catch (error: SerializationException) {
                 throw CommandFailure(ResultCode.INVALID_SETTINGS, error.message.orEmpty())
             }
-        val faults = settings.faults()
+        val faults = settings.validationErrors()
         if (faults.isNotEmpty()) throw CommandFailure(ResultCode.INVALID_SETTINGS, faults.joinToString("; "))
         return settings
     }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DeploymentRun.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DeploymentRun.kt
@@ -138,7 +138,7 @@
         launch { changeZone(operator) }
         delay(STEP_MILLIS)
         notes.progress("engine ${plan.dyingEngine} dies for ${DOWN_MILLIS / 1000} s")
-        standIns.engines.getValue(plan.dyingEngine).die(DOWN_MILLIS)
+        standIns.engines.getValue(plan.dyingEngine).crash(DOWN_MILLIS)
         delay(STEP_MILLIS)
         launch { shutDown(fleet) }
         delay(STEP_MILLIS)
@@ -148,10 +148,13 @@
     private fun disturbAnswers() {
         val desks = standIns.plainServices.values.toList()
         val now = notes.now()
-        desks[0].model.order(PlainServiceFaults(listOf(AnswerFault.LOST), call = plan.write), now)
-        desks[1].model.order(PlainServiceFaults(listOf(AnswerFault.CROSSED, AnswerFault.MISMATCHED), plan.lookup), now)
-        desks[2].model.order(PlainServiceFaults(listOf(AnswerFault.REFUSED, AnswerFault.LATE), plan.write), now)
-        checkNotNull(standIns.objectStore).order(StoreFaults(lostAnswerProbability = LOST_STORE_ANSWERS))
+        desks[0].model.applyFaults(PlainServiceFaults(listOf(AnswerFault.LOST), call = plan.write), now)
+        desks[1].model.applyFaults(
+            PlainServiceFaults(listOf(AnswerFault.CROSSED, AnswerFault.MISMATCHED), plan.lookup),
+            now,
+        )
+        desks[2].model.applyFaults(PlainServiceFaults(listOf(AnswerFault.REFUSED, AnswerFault.LATE), plan.write), now)
+        checkNotNull(standIns.objectStore).applyFaults(StoreFaults(lostAnswerProbability = LOST_STORE_ANSWERS))
         notes.progress("desks lose, cross and refuse answers; the object store loses one write answer in fifty")
     }
 
--- a/objectapi/src/test/kotlin/io/sequoiawheel/objectapi/HttpObjectApiTest.kt
+++ b/objectapi/src/test/kotlin/io/sequoiawheel/objectapi/HttpObjectApiTest.kt
@@ -59,7 +59,7 @@
     @Test
     fun `a lost answer is unavailable and the read-back finds the write`() =
         withStore { api, server ->
-            server.link.order(LinkFaults(loseAnswers = 1))
+            server.link.applyFaults(LinkFaults(loseAnswers = 1))
             assertEquals(ResultCode.PLATFORM_UNAVAILABLE, api.put(key, "mine", 0).leftOrNull()?.code)
             assertEquals("mine", api.get(key).getOrNull()?.value)
         }
@@ -68,9 +68,9 @@
     @Test
     fun `a write in an outage is sent once and has no effect`() =
         withStore { api, server ->
-            server.link.order(LinkFaults(outage = true))
+            server.link.applyFaults(LinkFaults(outage = true))
             assertEquals(ResultCode.PLATFORM_UNAVAILABLE, api.put(key, "mine", 0).leftOrNull()?.code)
-            server.link.order(LinkFaults())
+            server.link.applyFaults(LinkFaults())
             server.stop()
             assertEquals(ResultCode.PLATFORM_UNAVAILABLE, api.get(key).leftOrNull()?.code)
             server.start()
@@ -81,9 +81,9 @@
     @Test
     fun `a stalled write takes effect at most once and never over a later one`() =
         withStore { api, server ->
-            server.link.order(LinkFaults(stalled = true))
+            server.link.applyFaults(LinkFaults(stalled = true))
             assertEquals(ResultCode.PLATFORM_UNAVAILABLE, api.put(key, "stalled", 0).leftOrNull()?.code)
-            server.link.order(LinkFaults())
+            server.link.applyFaults(LinkFaults())
             val later = api.put(key, "later", 0)
             val expected = if (later.isRight()) "later" else "stalled"
             delay(200)
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/deployment/Registration.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/deployment/Registration.kt
@@ -11,13 +11,15 @@
 import java.net.http.HttpResponse.BodyHandlers
 import java.time.Duration
 
-/** Registers backend servers at the instance list with base URL [url]. */
+/** Client that registers backend servers at the instance list with base URL [url]. */
 internal class Registration(
     private val url: String,
 ) {
     private val client = HttpClient.newBuilder().connectTimeout(TIMEOUT).build()
 
-    /** Registers [instance] or renews its registration. A lost call is made up for by the next one. */
+    /**
+     * Registers [instance] or renews its registration. A failed call is ignored, because the next renewal repeats it.
+     */
     suspend fun renew(instance: Instance) {
         val request =
             HttpRequest
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/deployment/StandInPresets.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/deployment/StandInPresets.kt
@@ -9,13 +9,13 @@
 import io.sequoiawheel.standin.plain.PlainServiceSettings
 import io.sequoiawheel.standin.weight.WeightStoreSettings
 
-/** The stand-ins of the two deployments, with fixed ports that do not overlap. */
+/** Stand-in settings of the two deployments, with fixed ports that do not overlap. */
 object StandInPresets {
     private const val KELANI_PORT = 7000
     private const val MANJADI_PORT = 7200
-    private const val BACKEND_PORTS = 100
+    private const val BACKEND_PORT_OFFSET = 100
 
-    /** Kelani Loom Software: eight letter engines that check fencing numbers and three pledge desks. */
+    /** Kelani Loom Software: eight engines for letters that check fencing numbers, and three `pledge-desk` servers. */
     val kelani: StandInSettings =
         Deployment(
             region = "lk-west",
@@ -25,12 +25,12 @@
             engines = 8,
             engine = EngineSettings(models = listOf("letters"), orders = EngineSettings.Orders(checksFencing = true)),
             plainService = "pledge-desk",
-            desks = 3,
-            calls = mapOf("record" to call(40, 30), "lookup" to call(8, 8)),
-            lengths = mapOf("letter" to length(700.0, 0.9), "summary" to length(60.0, 0.6)),
+            plainServers = 3,
+            calls = mapOf("record" to callSettings(40, 30), "lookup" to callSettings(8, 8)),
+            lengths = mapOf("letter" to lengthDistribution(700.0, 0.9), "summary" to lengthDistribution(60.0, 0.6)),
         ).settings()
 
-    /** Manjadi Frost Archive: six caption engines that ignore fencing numbers and three studio desks. */
+    /** Manjadi Frost Archive: six engines for captions that ignore fencing numbers, and three `studio-desk` servers. */
     val manjadi: StandInSettings =
         Deployment(
             region = "kochi",
@@ -40,15 +40,15 @@
             engines = 6,
             engine = EngineSettings(models = listOf("captions"), orders = EngineSettings.Orders(checksFencing = false)),
             plainService = "studio-desk",
-            desks = 3,
-            calls = mapOf("print" to call(60, 40), "lookup" to call(8, 8)),
-            lengths = mapOf("description" to length(400.0, 0.7), "tags" to length(25.0, 0.5)),
+            plainServers = 3,
+            calls = mapOf("print" to callSettings(60, 40), "lookup" to callSettings(8, 8)),
+            lengths = mapOf("description" to lengthDistribution(400.0, 0.7), "tags" to lengthDistribution(25.0, 0.5)),
         ).settings()
 
     /** The names of the presets. */
     val names: List<String> = listOf("kelani", "manjadi")
 
-    /** Returns the preset with this [name], or null. */
+    /** Returns the preset named [name], or null if there is none. */
     fun named(name: String): StandInSettings? =
         when (name) {
             "kelani" -> kelani
@@ -56,12 +56,12 @@
             else -> null
         }
 
-    private fun call(
+    private fun callSettings(
         durationMillis: Long,
         jitterMillis: Long,
     ) = PlainServiceSettings.Call(durationMillis, jitterMillis)
 
-    private fun length(
+    private fun lengthDistribution(
         medianTokens: Double,
         sigma: Double,
     ) = LengthDistribution(medianTokens, sigma)
@@ -74,7 +74,7 @@
         private val engines: Int,
         private val engine: EngineSettings,
         private val plainService: String,
-        private val desks: Int,
+        private val plainServers: Int,
         private val calls: Map<String, PlainServiceSettings.Call>,
         private val lengths: Map<String, LengthDistribution>,
     ) {
@@ -85,7 +85,7 @@
                 instanceList = InstanceListSettings(firstPort + 1),
                 weightStore = WeightStoreSettings(firstPort + 2),
                 lengths = lengths,
-                backends = List(engines, ::engineBackend) + List(desks, ::plainBackend),
+                backends = List(engines, ::engineBackend) + List(plainServers, ::plainBackend),
             )
 
         private fun engineBackend(index: Int) =
@@ -102,7 +102,7 @@
             id = InstanceId("$service-${index + 1}"),
             service = ServiceName(service),
             zone = ZoneName(zones[index % zones.size]),
-            port = firstPort + BACKEND_PORTS + portOffset,
+            port = firstPort + BACKEND_PORT_OFFSET + portOffset,
         )
     }
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/deployment/StandInSet.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/deployment/StandInSet.kt
@@ -25,10 +25,10 @@
 import java.util.concurrent.ConcurrentHashMap
 
 /**
- * The running stand-ins of one process. Backend servers register with the instance list, renew their registration while
- * they run, and get a new instance id with each restart.
+ * The stand-ins that run in one process. Backend servers register at the instance list, renew their registration while
+ * they run, and get a new instance id at each restart.
  *
- * @param history where the backend servers record what they run, or null
+ * @param history records the events of the backend servers, or null to record nothing
  */
 class StandInSet(
     private val settings: StandInSettings,
@@ -39,61 +39,61 @@
     private val leaving = ConcurrentHashMap.newKeySet<InstanceId>()
     private val lengths = OutputLengths(settings.seed, settings.lengths)
 
-    /** The object store, if this set has one. */
+    /** The object store, or null if it is not configured. */
     val objectStore: ObjectStoreServer? =
         settings.objectStore?.let { store ->
             val random = RandomSource.XO_RO_SHI_RO_128_PP.create(settings.seed)
             ObjectStoreServer(ObjectStoreModel(clock, random, store.budget, scope), store.port)
         }
 
-    /** The instance list, if this set has one. */
+    /** The instance list, or null if it is not configured. */
     val instanceList: InstanceListServer? = settings.instanceList?.let(::InstanceListServer)
 
-    /** The weight store, if this set has one. */
+    /** The weight store, or null if it is not configured. */
     val weightStore: WeightStoreServer? = settings.weightStore?.let(::WeightStoreServer)
 
-    /** The model engines by the id in the settings. */
+    /** The model engines by their configured id. */
     val engines: Map<InstanceId, EngineServer> =
         settings.backends
             .filter { it.engine != null }
             .associate { it.id to engineServer(it) }
 
-    /** The plain services by the id in the settings. */
+    /** The plain services by their configured id. */
     val plainServices: Map<InstanceId, PlainServiceServer> =
         settings.backends
             .filter { it.plain != null }
             .associate { it.id to plainServer(it) }
 
     init {
-        val faults = settings.faults()
-        require(faults.isEmpty()) { faults.joinToString("; ") }
+        val errors = settings.validationErrors()
+        require(errors.isEmpty()) { errors.joinToString("; ") }
     }
 
-    /** Starts all stand-ins. Throws if a port is taken. */
+    /** Starts all stand-ins. Throws if a port is already in use. */
     suspend fun start() {
         listOfNotNull(objectStore, instanceList, weightStore).forEach { it.start() }
         settings.backends.forEach { server(it).start() }
-        if (settings.backends.isNotEmpty()) scope.launch { keepRegistered() }
+        if (settings.backends.isNotEmpty()) scope.launch { renewRegistrations() }
     }
 
-    /** Marks a backend server as leaving; it goes on serving what it has. */
+    /** Registers a backend server as leaving; it continues to serve its requests. */
     fun leave(id: InstanceId) {
         leaving += id
     }
 
-    /** Withdraws the mark of [leave]. */
+    /** Reverts [leave]. */
     fun rejoin(id: InstanceId) {
         leaving -= id
     }
 
-    /** Stops all stand-ins for good. */
+    /** Stops all stand-ins permanently. */
     suspend fun close() {
         scope.cancel()
         settings.backends.forEach { server(it).close() }
         listOfNotNull(weightStore, instanceList, objectStore).forEach { it.close() }
     }
 
-    private suspend fun keepRegistered() {
+    private suspend fun renewRegistrations() {
         val registration = Registration(settings.registerAt ?: checkNotNull(instanceList).baseUrl)
         while (scope.isActive) {
             settings.backends.filter { server(it).running }.forEach { registration.renew(instanceOf(it)) }
@@ -140,7 +140,7 @@
     private companion object {
         const val NANOS_PER_MILLI = 1_000_000L
 
-        /** Keeps the seeds of neighbouring settings apart. */
+        /** Separates the seeds of the backend servers for consecutive seeds in the settings. */
         const val SEED_FACTOR = 1_000_003L
     }
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/deployment/StandInSettings.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/deployment/StandInSettings.kt
@@ -1,6 +1,6 @@
 /*
- * The stand-ins that one process hosts: platform, backend servers, or both. The JSON form is what the command line
- * reads; a stand-in whose settings are absent is not started.
+ * Settings of the stand-ins that one process runs: the platform, backend servers, or both. The command line reads them
+ * as JSON. A stand-in without settings is not started.
  */
 package io.sequoiawheel.standin.deployment
 
@@ -17,11 +17,12 @@
 
 /**
  * @property region region of every backend server
- * @property seed seed of every random number
- * @property timeScale how much faster than real time the engines work
- * @property registerAt base URL of the instance list for the backend servers; absent means the one in this set
+ * @property seed seed of all random number generators
+ * @property timeScale speed of the engines relative to real time
+ * @property registerAt base URL of the instance list at which the backend servers register; the default is the one in
+ *   this set
  * @property heartbeatMillis interval at which the backend servers renew their registration
- * @property lengths output lengths by the kind that a prompt names with `#kind `
+ * @property lengths output length distributions by prompt kind, which a prompt selects with the prefix `#kind `
  */
 @Serializable
 data class StandInSettings(
@@ -36,14 +37,14 @@
     val lengths: Map<String, LengthDistribution> = emptyMap(),
     val backends: List<Backend> = emptyList(),
 ) {
-    /** The object store at [port] with its [budget] of calls. */
+    /** Settings of the object store: its [port] and its call [budget]. */
     @Serializable
     data class ObjectStore(
         val port: Int = 0,
         val budget: CallBudget = CallBudget(),
     )
 
-    /** One backend server; exactly one of [engine] and [plain] is given. */
+    /** Settings of one backend server; exactly one of [engine] and [plain] must be set. */
     @Serializable
     data class Backend(
         val id: InstanceId,
@@ -55,7 +56,7 @@
         val plain: PlainServiceSettings? = null,
     )
 
-    /** Returns the same set with every port chosen by the system. */
+    /** Returns a copy in which the operating system chooses every port. */
     fun withFreePorts(): StandInSettings =
         copy(
             objectStore = objectStore?.copy(port = 0),
@@ -64,18 +65,20 @@
             backends = backends.map { it.copy(port = 0) },
         )
 
-    /** Returns what is wrong with the settings, each with its path; empty if nothing is. */
-    fun faults(): List<String> =
+    /**
+     * Returns the validation errors, each with the path of the setting; the list is empty if the settings are valid.
+     */
+    fun validationErrors(): List<String> =
         buildList {
             if (timeScale <= 0) add("$.timeScale: must be positive")
             if (heartbeatMillis <= 0) add("$.heartbeatMillis: must be positive")
             if (backends.isNotEmpty() && registerAt == null && instanceList == null) {
-                add("$.registerAt: backend servers need an instance list to register at")
+                add("$.registerAt: required for backend servers if instanceList is not set")
             }
-            if (backends.distinctBy { it.id }.size != backends.size) add("$.backends: names an id twice")
+            if (backends.distinctBy { it.id }.size != backends.size) add("$.backends: contains a duplicate id")
             backends.forEachIndexed { index, backend ->
                 if ((backend.engine == null) == (backend.plain == null)) {
-                    add("$.backends[$index]: must have either engine or plain")
+                    add("$.backends[$index]: exactly one of engine and plain must be set")
                 }
             }
         }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/CacheEvent.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/CacheEvent.kt
@@ -1,9 +1,9 @@
 package io.sequoiawheel.standin.engine
 
 /**
- * One change of the prompt-prefix cache.
+ * A change to the contents of the prompt-prefix cache.
  *
- * @property sequence number of the event since the engine's start; missing numbers are lost events
+ * @property sequence event number since the engine started; a gap in the numbers means lost events
  * @property stored hashes of blocks that are now cached
  * @property evicted hashes of blocks that are no longer cached
  */
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineDriver.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineDriver.kt
@@ -20,11 +20,11 @@
 import java.util.concurrent.ConcurrentHashMap
 
 /**
- * Advances one [EngineModel] in real time and makes its tokens readable at the end of each step. It is thread-safe.
+ * Runs one [EngineModel] in real time and publishes its tokens at the end of each step. This class is thread-safe.
  *
  * @param clock real time in milliseconds
- * @param timeScale how much faster than real time the engine works; 1.0 is real time
- * @param onCrash called when the engine fails by itself
+ * @param timeScale speed of the engine relative to real time; 1.0 is real time
+ * @param onCrash called when the engine crashes because of overload
  */
 class EngineDriver(
     private val model: EngineModel,
@@ -34,28 +34,28 @@
     private val observer: BackendObserver = BackendObserver,
 ) {
     private val mutex = Mutex()
-    private val submitted = Channel<Unit>(Channel.CONFLATED)
+    private val submissions = Channel<Unit>(Channel.CONFLATED)
     private val logs = ConcurrentHashMap<RequestId, MutableStateFlow<GenerationLog>>()
 
     init {
         require(timeScale > 0) { "timeScale must be positive" }
     }
 
-    /** What this engine produced for each generation since it was made; a repeated id shows its last run. */
+    /** The output of each generation since this driver was created; a repeated id shows its latest run. */
     val generations: List<GenerationLog> get() = logs.values.map { it.value }
 
-    /** Starts to step the model in [scope]. */
+    /** Launches the step loop in [scope]. */
     fun launchIn(scope: CoroutineScope): Job = scope.launch { run() }
 
-    /** Hands in a generation and lets the engine work on it. */
+    /** Submits a generation and wakes the step loop. */
     suspend fun submit(request: ModelRequest): Submission {
         val submission =
             mutex.withLock {
                 model.submit(request, now()).also {
-                    if (it == Submission.ACCEPTED) openLog(request.generation)
+                    if (it == Submission.ACCEPTED) createLog(request.generation)
                 }
             }
-        submitted.trySend(Unit)
+        submissions.trySend(Unit)
         return submission
     }
 
@@ -75,23 +75,23 @@
     /** Returns the cache events after number [after]. */
     suspend fun cacheEvents(after: Long): List<CacheEvent> = mutex.withLock { model.cacheEvents(after, now()) }
 
-    /** Takes an order; returns false if its fencing number is old and the engine checks it. */
-    suspend fun takeOrder(
+    /** Applies an order; returns false if the engine checks fencing numbers and this one is stale. */
+    suspend fun acceptOrder(
         target: String,
         fencing: Long,
         desired: String,
-    ): Boolean = mutex.withLock { model.takeOrder(target, fencing, desired, now()) }
+    ): Boolean = mutex.withLock { model.acceptOrder(target, fencing, desired, now()) }
 
-    /** Returns the orders taken so far. */
+    /** Returns the orders accepted so far. */
     suspend fun orders(): List<EngineOrder> = mutex.withLock { model.orders(now()) }
 
-    /** Makes the engine cold without a restart. */
+    /** Resets the warm-up progress of the engine without a restart. */
     suspend fun turnCold() = mutex.withLock { model.turnCold() }
 
-    /** Fails the process of the engine: its generations are lost. */
+    /** Simulates a crash of the engine process; all unfinished generations are lost. */
     suspend fun crash() = publish(mutex.withLock { model.crash(now()) })
 
-    private fun openLog(generation: RequestId) {
+    private fun createLog(generation: RequestId) {
         val starts = logs[generation]?.value?.starts ?: 0
         logs[generation] = MutableStateFlow(GenerationLog(generation, starts = starts + 1))
         observer.onStart(generation)
@@ -107,7 +107,7 @@
                 return onCrash()
             }
             if (result.isIdle) {
-                submitted.receive()
+                submissions.receive()
                 plannedEnd = now().toDouble()
                 continue
             }
@@ -147,14 +147,14 @@
         end: GenerationLog.End,
     ) {
         val log = logs[generation] ?: return
-        val before = log.getAndUpdate { if (it.end == null) it.copy(end = end) else it }
-        if (before.end == null) observer.onEnd(generation, null)
+        val previous = log.getAndUpdate { if (it.end == null) it.copy(end = end) else it }
+        if (previous.end == null) observer.onEnd(generation, null)
     }
 
     private fun now(): Long = (clock.nowMillis() * timeScale).toLong()
 
     private companion object {
-        /** After a pause of the process the engine catches up at most this much model time at once. */
+        /** Maximum model time that the engine catches up on at once after the process was paused. */
         const val MAXIMUM_BACKLOG_MILLIS = 50.0
     }
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineFaults.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineFaults.kt
@@ -3,12 +3,12 @@
 import kotlinx.serialization.Serializable
 
 /**
- * An order for faults of a model engine.
+ * Faults to inject into a model engine.
  *
- * @property turnCold the engine becomes cold without a restart
- * @property refuseNext how many of the next generations are refused with proof that they did not run
- * @property crossNextTokens how many of the next tokens carry the id of another generation
- * @property repeatNextTokens how many of the next tokens are sent twice
+ * @property turnCold resets the warm-up progress without a restart
+ * @property refuseNext number of upcoming generations to refuse with the header that states they did not run
+ * @property crossNextTokens number of upcoming tokens to send with the id of another generation
+ * @property repeatNextTokens number of upcoming tokens to send twice
  */
 @Serializable
 data class EngineFaults(
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineModel.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineModel.kt
@@ -1,7 +1,7 @@
 /*
- * A model engine without I/O and without a clock of its own. The caller submits requests, calls `step` whenever the
- * previous step has ended, and hands the events on at the end of the step. It serves virtual time and real time alike.
- * It is not thread-safe; the caller serializes all calls.
+ * A simulated model engine without I/O or its own clock, so that it works in virtual and in real time. The caller
+ * submits requests, calls `step` whenever the previous step has ended, and publishes the returned events at the end of
+ * the step. It is not thread-safe; the caller serializes all calls.
  */
 package io.sequoiawheel.standin.engine
 
@@ -9,17 +9,17 @@
 import io.sequoiawheel.core.model.RequestId
 import io.sequoiawheel.standin.engine.internal.BlockMemory
 import io.sequoiawheel.standin.engine.internal.LoadSamples
-import io.sequoiawheel.standin.engine.internal.OrderBook
+import io.sequoiawheel.standin.engine.internal.OrderState
 import io.sequoiawheel.standin.engine.internal.PrefixCache
 import io.sequoiawheel.standin.engine.internal.Sequence
-import io.sequoiawheel.standin.engine.internal.Warmth
+import io.sequoiawheel.standin.engine.internal.WarmupState
 import org.apache.commons.rng.simple.RandomSource
 import java.util.PriorityQueue
 
 /**
- * Continuous batching over a limited key-value memory. Memory that fills while decoding preempts the request of the
- * lowest priority that came last; it waits and recomputes its prompt and output. Times are milliseconds of the caller's
- * clock and must not go back.
+ * Simulates continuous batching with a limited key-value memory. When the memory fills up during decoding, the engine
+ * preempts the most recent request of the lowest priority, which is queued again and recomputes its prompt and output.
+ * Times are milliseconds of the caller's clock and must not decrease.
  */
 class EngineModel(
     private val settings: EngineSettings,
@@ -28,11 +28,11 @@
     startsCold: Boolean = false,
 ) {
     private val memory = BlockMemory(settings)
-    private val warmth = Warmth(settings.cold, settings.maximumConcurrent, startsCold)
+    private val warmup = WarmupState(settings.cold, settings.maximumConcurrent, startsCold)
     private val cache = PrefixCache(settings.cache, RandomSource.XO_RO_SHI_RO_128_PP.create(seed))
-    private val orderBook = OrderBook(settings)
+    private val orderState = OrderState(settings)
     private val samples = LoadSamples(settings.report)
-    private val known = LinkedHashMap<RequestId, Sequence>()
+    private val generations = LinkedHashMap<RequestId, Sequence>()
     private val finished = ArrayDeque<Sequence>()
     private val waiting = PriorityQueue(Sequence.SERVICE_ORDER)
     private val running = ArrayList<Sequence>()
@@ -42,45 +42,45 @@
     private var preemptions = 0L
     private var meanStepMillis = 0.0
 
-    /** Identity of the current process of the engine; it changes with each restart. */
+    /** Id of the current engine process; it changes with each restart. */
     val startId: String get() = "${settings.name}-$incarnation"
 
-    /** Preemptions since the process started, without the lag of the load report. */
+    /** Preemptions since the process started. Unlike the load report, this value has no lag. */
     val preemptionCount: Long get() = preemptions
 
-    /** Requests in the batch now, without the lag of the load report. */
+    /** Requests in the current batch. Unlike the load report, this value has no lag. */
     val runningCount: Int get() = running.size
 
-    /** Requests that wait inside the engine now, without the lag of the load report. */
+    /** Requests queued in the engine. Unlike the load report, this value has no lag. */
     val waitingCount: Int get() = waiting.size
 
-    /** Tokens in the key-value memory now, without the lag of the load report. */
+    /** Tokens in the key-value memory. Unlike the load report, this value has no lag. */
     val memoryTokens: Long get() = memory.usedTokens
 
-    /** Whether the engine does not listen because it is restarting. */
+    /** Whether the engine is restarting and does not accept requests. */
     fun isDown(nowMillis: Long): Boolean = nowMillis < downUntilMillis
 
-    /** Hands in a generation. If the engine was idle, the caller calls [step] next. */
+    /** Submits a generation. If the engine was idle, the caller must call [step] next. */
     fun submit(
         request: ModelRequest,
         nowMillis: Long,
     ): Submission {
-        refusalOf(request, nowMillis)?.let { return it }
+        findRefusal(request, nowMillis)?.let { return it }
         val sequence = Sequence(request, lengths.draw(request), submissions++)
-        known[request.generation] = sequence
+        generations[request.generation] = sequence
         waiting += sequence
         return Submission.ACCEPTED
     }
 
-    /** Runs one step that starts now. */
+    /** Runs one step that starts at [nowMillis]. */
     fun step(nowMillis: Long): StepResult {
-        forgetFinished(nowMillis)
+        evictFinished(nowMillis)
         if (isDown(nowMillis)) return StepResult.IDLE
         admitWaiting()
         if (running.isEmpty()) return StepResult.IDLE
-        if (warmth.recordStep(running.size)) return StepResult(0.0, crash(nowMillis))
+        if (warmup.recordStep(running.size)) return StepResult(0.0, crash(nowMillis))
         val events = ArrayList<ModelEvent>(running.size + 2)
-        makeRoom(events)
+        growOrPreempt(events)
         val batch = running.count { it.prefillRemaining == 0 }
         val prefilled = prefill(nowMillis)
         val duration = stepMillis(batch, prefilled)
@@ -90,74 +90,77 @@
         return StepResult(duration, events)
     }
 
-    /** Stops a generation and frees its memory; an unknown one is ignored. */
+    /** Cancels a generation and frees its memory; an unknown id is ignored. */
     fun cancel(generation: RequestId) {
-        val sequence = known.remove(generation) ?: return
+        val sequence = generations.remove(generation) ?: return
         if (sequence.isDone) return
         release(sequence)
         waiting.remove(sequence)
     }
 
-    /** Returns what can be read of a generation, or null if it is unknown or its resume window has passed. */
+    /** Returns the status of a generation, or null if it is unknown or its resume window has expired. */
     fun status(
         generation: RequestId,
         nowMillis: Long,
     ): GenerationStatus? {
-        forgetFinished(nowMillis)
-        return known[generation]?.let { GenerationStatus(it.produced, it.isDone) }
+        evictFinished(nowMillis)
+        return generations[generation]?.let { GenerationStatus(it.produced, it.isDone) }
     }
 
-    /** Returns the load report, which shows the state of a while ago. */
+    /** Returns the load report, which lags behind the current state by [EngineSettings.Report.lagMillis]. */
     fun loadReport(nowMillis: Long): LoadReport {
         if (samples.isDue(nowMillis)) samples.add(currentLoad(nowMillis), nowMillis)
-        return samples.lagging(nowMillis)
+        return samples.delayedReport(nowMillis)
     }
 
-    /** Returns the cache events with numbers above [after] that are visible by now. */
+    /** Returns the published cache events with numbers above [after]. */
     fun cacheEvents(
         after: Long,
         nowMillis: Long,
     ): List<CacheEvent> = cache.events(after, nowMillis)
 
-    /** Takes an absolute order; returns false if its fencing number is old and this engine checks it. */
-    fun takeOrder(
+    /** Applies an order for an absolute state; returns false if this engine checks fencing and the number is stale. */
+    fun acceptOrder(
         target: String,
         fencing: Long,
         desired: String,
         nowMillis: Long,
-    ): Boolean = orderBook.take(target, fencing, desired, nowMillis)
+    ): Boolean = orderState.accept(target, fencing, desired, nowMillis)
 
-    /** Returns the orders taken so far, one per target. */
-    fun orders(nowMillis: Long): List<EngineOrder> = orderBook.list(nowMillis)
+    /** Returns the latest accepted order of each target. */
+    fun orders(nowMillis: Long): List<EngineOrder> = orderState.list(nowMillis)
 
-    /** Makes a warm engine cold without a restart. */
-    fun turnCold() = warmth.turnCold()
+    /** Resets the warm-up progress without a restart. */
+    fun turnCold() = warmup.turnCold()
 
-    /** Fails the process: every generation is lost, and a cold one with a new [startId] comes up later. */
+    /**
+     * Crashes the process, which loses all generations. After the restart time it runs again, cold and with a new
+     * [startId].
+     */
     fun crash(nowMillis: Long): List<ModelEvent> {
-        val lost = known.values.filterNot { it.isDone }.map { ModelEvent.Lost(it.request.generation) }
+        val lost = generations.values.filterNot { it.isDone }.map { ModelEvent.Lost(it.request.generation) }
         running.forEach { memory.free(it) }
         running.clear()
         waiting.clear()
-        known.clear()
+        generations.clear()
         finished.clear()
         cache.reset()
         samples.clear()
-        warmth.turnCold()
+        warmup.turnCold()
         preemptions = 0
         incarnation++
         downUntilMillis = nowMillis + settings.cold.restartMillis
         return lost
     }
 
-    private fun refusalOf(
+    private fun findRefusal(
         request: ModelRequest,
         nowMillis: Long,
     ): Submission? =
         when {
             isDown(nowMillis) -> Submission.DOWN
-            request.generation in known -> Submission.DUPLICATE
-            !orderBook.isModelLoaded(request.model, nowMillis) -> Submission.MODEL_NOT_LOADED
+            request.generation in generations -> Submission.DUPLICATE
+            !orderState.isModelLoaded(request.model, nowMillis) -> Submission.MODEL_NOT_LOADED
             request.promptTokens + request.maximumTokens > settings.memoryTokens -> Submission.TOO_LARGE
             else -> null
         }
@@ -175,8 +178,8 @@
         }
     }
 
-    /** Grows every decoding sequence by one token, preempting others until the memory suffices. */
-    private fun makeRoom(events: MutableList<ModelEvent>) {
+    /** Allocates memory for one more token of each running sequence, preempting sequences while there is not enough. */
+    private fun growOrPreempt(events: MutableList<ModelEvent>) {
         for (sequence in running.toTypedArray()) {
             while (sequence.isRunning && !memory.grow(sequence, sequence.tokens + 1)) {
                 preempt(running.maxWith(Sequence.SERVICE_ORDER), events)
@@ -218,15 +221,15 @@
         batch: Int,
         prefilled: Int,
     ): Double {
-        val warm =
+        val warmMillis =
             settings.stepBaseMillis +
                 settings.stepPerSequenceMillis * batch +
                 settings.stepPerKiloTokenMillis * memory.usedTokens / TOKENS_PER_KILO +
                 settings.prefillMillisPerToken * prefilled
-        return warm * warmth.slowdown
+        return warmMillis * warmup.slowdown
     }
 
-    /** Produces one token for each sequence whose prompt is computed. */
+    /** Produces one token for each sequence whose prefill is complete. */
     private fun decode(
         events: MutableList<ModelEvent>,
         endMillis: Long,
@@ -255,18 +258,18 @@
         finished.addLast(sequence)
     }
 
-    private fun forgetFinished(nowMillis: Long) {
+    private fun evictFinished(nowMillis: Long) {
         while (finished.isNotEmpty()) {
             if (nowMillis - finished.first().finishedAtMillis <= settings.resumeWindowMillis) return
             val expired = finished.removeFirst()
-            if (known[expired.request.generation] === expired) known.remove(expired.request.generation)
+            if (generations[expired.request.generation] === expired) generations.remove(expired.request.generation)
         }
     }
 
     private fun currentLoad(nowMillis: Long) =
         LoadReport(
             startId = startId,
-            cold = warmth.isCold,
+            cold = warmup.isCold,
             memoryTokens = memory.usedTokens,
             memoryCapacityTokens = settings.memoryTokens.toLong(),
             running = running.size,
@@ -274,15 +277,15 @@
             preemptions = preemptions,
             stepMillis = meanStepMillis,
             maximumConcurrent = settings.maximumConcurrent,
-            models = orderBook.loadedModels(nowMillis),
+            models = orderState.loadedModels(nowMillis),
         )
 
     companion object {
-        /** Weight of the newest step in the reported mean; about the last ten steps count. */
+        /** Weight of the latest step in the moving average, which thus covers about the last ten steps. */
         private const val STEP_SMOOTHING = 0.1
         private const val TOKENS_PER_KILO = 1000.0
 
-        /** Returns the text of the token at [offset] of a generation, the same at each reading. */
+        /** Returns the text of the token at [offset]; it depends only on the generation id and the offset. */
         fun tokenText(
             generation: RequestId,
             offset: Int,
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineOrder.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineOrder.kt
@@ -1,7 +1,7 @@
 package io.sequoiawheel.standin.engine
 
 /**
- * An absolute order as the engine holds it.
+ * An accepted order that sets the absolute state of a target.
  *
  * @property target `model/<name>`, `adapter/<name>`, `version/<model>` or `role`
  * @property fencing fencing number of the order
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineServer.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineServer.kt
@@ -1,7 +1,8 @@
 /*
- * The model engine over HTTP. Streams are server-sent events that anyone may read again from any offset until the
- * resume window has passed; a reader that leaves does not stop its generation. If the engine fails, its connections end
- * and the server stops listening until the engine has restarted, cold and with a new start id.
+ * HTTP server of the simulated model engine. Generations are streamed as server-sent events, and any client can read a
+ * stream again from any offset until the resume window expires. A client that disconnects does not cancel its
+ * generation. If the engine crashes, its connections are closed and the port is unbound until the engine has restarted,
+ * cold and with a new start id.
  */
 package io.sequoiawheel.standin.engine
 
@@ -28,10 +29,10 @@
 import java.util.concurrent.atomic.AtomicInteger
 
 /**
- * One model engine.
+ * Serves one simulated model engine over HTTP.
  *
- * @param timeScale how much faster than real time the engine works; all times of [settings] shrink by it
- * @param startsCold whether the first process is cold; later ones always are
+ * @param timeScale speed of the engine relative to real time; all durations of [settings] are divided by it
+ * @param startsCold whether the engine is cold after the first start; after a restart it always is
  */
 class EngineServer(
     private val settings: EngineSettings,
@@ -42,10 +43,10 @@
     port: Int = 0,
     private val observer: BackendObserver = BackendObserver,
 ) : StandInServer(port) {
-    // The server itself keeps the port closed while the engine restarts, so the model needs no down time of its own.
+    // The server keeps the port unbound during a restart, so the model itself restarts without delay.
     private val model =
         EngineModel(settings.copy(cold = settings.cold.copy(restartMillis = 0)), lengths, seed, startsCold)
-    private val refusals = AtomicInteger()
+    private val pendingRefusals = AtomicInteger()
     private val streams = EngineStreams(link)
     private val readers = ConcurrentHashMap<RequestId, Int>()
     private var scope = CoroutineScope(SupervisorJob())
@@ -53,13 +54,13 @@
     @Volatile
     private var hasCrashed = false
 
-    /** How often the engine failed because it received more than it could handle while cold. */
+    /** Number of crashes caused by overload of the cold engine. */
     @Volatile
     var overloadCrashes: Int = 0
         private set
 
-    /** Access to the engine without HTTP. */
-    val driver = EngineDriver(model, clock, timeScale, ::crashedByItself, observer)
+    /** In-process access to the engine, bypassing HTTP. */
+    val driver = EngineDriver(model, clock, timeScale, ::onOverloadCrash, observer)
 
     override suspend fun onStart() {
         hasCrashed = false
@@ -70,44 +71,44 @@
     override suspend fun onStop() {
         scope.cancel()
         if (!hasCrashed) driver.crash()
-        observer.onDeath()
+        observer.onProcessEnd()
     }
 
     override fun Routing.routes() {
         post("/generations") { startGeneration(call) }
         get("/generations/{id}") { resumeGeneration(call) }
         delete("/generations/{id}") { cancelGeneration(call) }
-        get("/load") { answer(call, json.encodeToString(LoadReport.serializer(), driver.loadReport())) }
+        get("/load") { respondJson(call, json.encodeToString(LoadReport.serializer(), driver.loadReport())) }
         get("/cache-events") {
             val events = driver.cacheEvents(call.request.queryParameters["after"]?.toLongOrNull() ?: 0)
             val body = EngineWire.Events(events.map { EngineWire.Event(it.sequence, it.stored, it.evicted) })
-            answer(call, json.encodeToString(EngineWire.Events.serializer(), body))
+            respondJson(call, json.encodeToString(EngineWire.Events.serializer(), body))
         }
-        put("/orders/{target...}") { takeOrder(call) }
+        put("/orders/{target...}") { acceptOrder(call) }
         get("/orders") {
             val orders = driver.orders().map { EngineWire.TakenOrder(it.target, it.fencing, it.desired, it.isInEffect) }
-            answer(call, json.encodeToString(EngineWire.Orders.serializer(), EngineWire.Orders(orders)))
+            respondJson(call, json.encodeToString(EngineWire.Orders.serializer(), EngineWire.Orders(orders)))
         }
     }
 
-    override suspend fun order(faults: FaultOrder): String? {
-        if (faults.copy(engine = null).hasModelPart) return UNKNOWN_PART
-        val ordered = faults.engine ?: return null
-        if (ordered.turnCold) driver.turnCold()
-        refusals.set(ordered.refuseNext)
-        streams.order(ordered)
+    override suspend fun applyFaults(faults: FaultOrder): String? {
+        if (faults.copy(engine = null).hasModelFaults) return UNSUPPORTED_FAULTS
+        val engineFaults = faults.engine ?: return null
+        if (engineFaults.turnCold) driver.turnCold()
+        pendingRefusals.set(engineFaults.refuseNext)
+        streams.applyFaults(engineFaults)
         return null
     }
 
     private suspend fun startGeneration(call: ApplicationCall) {
         val start = decode(EngineWire.Start.serializer(), call.receiveText()) ?: return badRequest(call)
         observer.onArrival(RequestId(start.id))
-        if (refusals.getAndUpdate { maxOf(0, it - 1) } > 0) {
+        if (pendingRefusals.getAndUpdate { maxOf(0, it - 1) } > 0) {
             return refuse(call, start.id, HttpStatusCode.ServiceUnavailable)
         }
         when (driver.submit(toModelRequest(start))) {
             Submission.ACCEPTED -> stream(call, RequestId(start.id), 0)
-            Submission.DUPLICATE -> answer(call, "{}", HttpStatusCode.Conflict)
+            Submission.DUPLICATE -> respondJson(call, "{}", HttpStatusCode.Conflict)
             Submission.MODEL_NOT_LOADED -> refuse(call, start.id, HttpStatusCode.ServiceUnavailable)
             Submission.TOO_LARGE -> refuse(call, start.id, HttpStatusCode.PayloadTooLarge)
             Submission.DOWN -> refuse(call, start.id, HttpStatusCode.ServiceUnavailable)
@@ -119,13 +120,13 @@
         stream(call, RequestId(call.parameters["id"].orEmpty()), from)
     }
 
-    /** With `unattended=true` a generation that somebody reads is left alone and the answer is 409. */
+    /** With `unattended=true`, a generation that a client is reading is not cancelled and the response is 409. */
     private suspend fun cancelGeneration(call: ApplicationCall) {
         val generation = RequestId(call.parameters["id"].orEmpty())
         val isConditional = call.request.queryParameters["unattended"] == "true"
-        if (isConditional && readers.containsKey(generation)) return answer(call, "{}", HttpStatusCode.Conflict)
+        if (isConditional && readers.containsKey(generation)) return respondJson(call, "{}", HttpStatusCode.Conflict)
         driver.cancel(generation)
-        answer(call, "{}")
+        respondJson(call, "{}")
     }
 
     private suspend fun stream(
@@ -133,7 +134,7 @@
         generation: RequestId,
         from: Int,
     ) {
-        val progress = driver.progress(generation) ?: return answer(call, "{}", HttpStatusCode.NotFound)
+        val progress = driver.progress(generation) ?: return respondJson(call, "{}", HttpStatusCode.NotFound)
         readers.merge(generation, 1, Int::plus)
         try {
             streams.serve(call, progress, from)
@@ -142,15 +143,15 @@
         }
     }
 
-    private suspend fun takeOrder(call: ApplicationCall) {
+    private suspend fun acceptOrder(call: ApplicationCall) {
         val target =
             call.parameters
                 .getAll("target")
                 .orEmpty()
                 .joinToString("/")
         val order = decode(EngineWire.Order.serializer(), call.receiveText()) ?: return badRequest(call)
-        val isTaken = driver.takeOrder(target, order.fencing, order.desired)
-        answer(call, "{}", if (isTaken) HttpStatusCode.OK else HttpStatusCode.Conflict)
+        val isAccepted = driver.acceptOrder(target, order.fencing, order.desired)
+        respondJson(call, "{}", if (isAccepted) HttpStatusCode.OK else HttpStatusCode.Conflict)
     }
 
     private fun toModelRequest(start: EngineWire.Start) =
@@ -168,14 +169,14 @@
         call: ApplicationCall,
         generation: String,
         status: HttpStatusCode,
-    ) = answer(call, "{}", status, mapOf("X-Not-Run" to generation))
+    ) = respondJson(call, "{}", status, mapOf("X-Not-Run" to generation))
 
-    private suspend fun badRequest(call: ApplicationCall) = answer(call, "{}", HttpStatusCode.BadRequest)
+    private suspend fun badRequest(call: ApplicationCall) = respondJson(call, "{}", HttpStatusCode.BadRequest)
 
-    private fun crashedByItself() {
+    private fun onOverloadCrash() {
         hasCrashed = true
         overloadCrashes++
-        die((settings.cold.restartMillis / timeScale).toLong())
+        crash((settings.cold.restartMillis / timeScale).toLong())
     }
 
     private fun <T> decode(
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineSettings.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineSettings.kt
@@ -1,26 +1,27 @@
 /*
- * The physics of one model engine. The defaults describe an engine whose key-value memory, not its batch limit, is what
- * fills first under a mix of long and short outputs; docs/decisions/memory-pressure.md lists the capacity they give.
+ * Performance parameters of one simulated model engine. With the defaults and a mix of long and short outputs, the
+ * engine runs out of key-value memory before it reaches its batch limit; docs/decisions/memory-pressure.md lists the
+ * resulting capacity.
  */
 package io.sequoiawheel.standin.engine
 
 import kotlinx.serialization.Serializable
 
 /**
- * Sizes and speeds of one engine.
+ * Sizes and speeds of one model engine.
  *
- * @property name prefix of the start id
- * @property memoryTokens tokens that the key-value memory holds
+ * @property name name of the engine, used as the prefix of its start id
+ * @property memoryTokens capacity of the key-value memory in tokens
  * @property blockTokens tokens per memory block and per block of a prompt's hash chain
- * @property reserveShare share of the memory that admission leaves free, so that running requests can grow
- * @property maximumConcurrent largest batch
+ * @property reserveShare fraction of the memory that admission keeps free for the growth of running requests
+ * @property maximumConcurrent maximum batch size
  * @property stepBaseMillis duration of a step with an empty batch
- * @property stepPerSequenceMillis added per request in the batch
- * @property stepPerKiloTokenMillis added per 1,000 tokens in the key-value memory
- * @property prefillMillisPerToken added per prompt token computed in the step
- * @property prefillTokensPerStep largest number of prompt tokens computed in one step
- * @property resumeWindowMillis how long a finished generation stays readable
- * @property models models that are loaded at the start
+ * @property stepPerSequenceMillis additional duration per request in the batch
+ * @property stepPerKiloTokenMillis additional duration per 1,000 tokens in the key-value memory
+ * @property prefillMillisPerToken additional duration per prompt token computed in the step
+ * @property prefillTokensPerStep maximum number of prompt tokens computed in one step
+ * @property resumeWindowMillis how long a finished generation can still be read
+ * @property models models that are loaded when the engine starts
  */
 @Serializable
 data class EngineSettings(
@@ -42,13 +43,13 @@
     val orders: Orders = Orders(),
 ) {
     /**
-     * Behaviour of a cold engine. Warming takes work: an idle engine stays cold.
+     * Behaviour of a cold engine. Only steps warm the engine up; an idle engine stays cold.
      *
-     * @property slowdown factor of the step duration right after the start
-     * @property safeConcurrent batch that is safe right after the start; it grows geometrically while warming
-     * @property warmingSteps steps until the engine is warm
-     * @property toleratedSteps steps above the safe batch before the engine fails
-     * @property restartMillis time from a failure until the engine accepts requests again
+     * @property slowdown factor applied to the step duration right after a start
+     * @property safeConcurrent batch size that is safe right after a start; it grows geometrically during warm-up
+     * @property warmingSteps number of steps until the engine is warm
+     * @property toleratedSteps number of consecutive steps above the safe batch size before the engine crashes
+     * @property restartMillis time from a crash until the engine accepts requests again
      */
     @Serializable
     data class Cold(
@@ -62,10 +63,10 @@
     /**
      * The prompt-prefix cache and its event feed.
      *
-     * @property blocks blocks that the cache keeps
-     * @property delayMillis time from a change to its event
-     * @property gapProbability probability that an event is lost after it got its number
-     * @property keptEvents events that can still be read
+     * @property blocks capacity of the cache in blocks
+     * @property delayMillis delay between a change and the publication of its event
+     * @property gapProbability probability that an event is lost after its number was assigned
+     * @property keptEvents maximum number of events retained for reading
      */
     @Serializable
     data class Cache(
@@ -75,14 +76,14 @@
         val keptEvents: Int = 4_096,
     )
 
-    /** The load report shows the state of [lagMillis] ago, sampled every [sampleMillis]. */
+    /** The load report is sampled every [sampleMillis] and lags behind the current state by [lagMillis]. */
     @Serializable
     data class Report(
         val lagMillis: Long = 300,
         val sampleMillis: Long = 50,
     )
 
-    /** Whether orders with an old fencing number are rejected, and how long a load takes. */
+    /** [checksFencing] rejects orders with a stale fencing number; [loadMillis] is the duration of a model load. */
     @Serializable
     data class Orders(
         val checksFencing: Boolean = true,
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineStreams.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/EngineStreams.kt
@@ -14,20 +14,20 @@
 import java.io.IOException
 import java.util.concurrent.atomic.AtomicInteger
 
-/** Writes the tokens of generations as server-sent events, with the faults of [link] and of the engine. Thread-safe. */
+/** Streams tokens as server-sent events and injects the faults of [link] and the engine. This class is thread-safe. */
 internal class EngineStreams(
     private val link: Link,
 ) {
-    private val crossTokens = AtomicInteger()
-    private val repeatTokens = AtomicInteger()
+    private val crossedTokens = AtomicInteger()
+    private val repeatedTokens = AtomicInteger()
 
-    /** Puts the stream faults of [faults] in force. */
-    fun order(faults: EngineFaults) {
-        crossTokens.set(faults.crossNextTokens)
-        repeatTokens.set(faults.repeatNextTokens)
+    /** Applies the faults in [faults] that affect streams. */
+    fun applyFaults(faults: EngineFaults) {
+        crossedTokens.set(faults.crossNextTokens)
+        repeatedTokens.set(faults.repeatNextTokens)
     }
 
-    /** Answers [call] with the events of a generation from offset [from] on until its end or a cut of the link. */
+    /** Streams a generation from offset [from] to [call] until the generation ends or the link is cut. */
     suspend fun serve(
         call: ApplicationCall,
         progress: StateFlow<GenerationLog>,
@@ -35,11 +35,11 @@
     ) {
         val cutsBefore = link.cutCount.value
         call.respondBytesWriter(ContentType.Text.EventStream) {
-            if (!write(this, progress, from, cutsBefore)) cancel(IOException("the stream ends without its last event"))
+            if (!write(this, progress, from, cutsBefore)) cancel(IOException("stream aborted before its final event"))
         }
     }
 
-    /** Returns whether the stream ended with its last event. */
+    /** Returns whether the final event was written. */
     private suspend fun write(
         channel: ByteWriteChannel,
         progress: StateFlow<GenerationLog>,
@@ -49,7 +49,7 @@
         channel.flush()
         var offset = from
         while (true) {
-            val log = awaitNews(progress, offset, cutsBefore)
+            val log = awaitProgress(progress, offset, cutsBefore)
             if (link.cutCount.value != cutsBefore) return false
             while (offset < log.tokens) writeToken(channel, log, offset++)
             if (log.end == GenerationLog.End.DONE) writeDone(channel, log)
@@ -58,14 +58,14 @@
         }
     }
 
-    private suspend fun awaitNews(
+    private suspend fun awaitProgress(
         progress: StateFlow<GenerationLog>,
         offset: Int,
         cutsBefore: Int,
     ): GenerationLog =
         combine(progress, link.faults, link.cutCount) { log, faults, cuts ->
-            val hasNews = log.tokens > offset || log.end != null
-            log.takeIf { cuts != cutsBefore || hasNews && !faults.stalled }
+            val hasProgress = log.tokens > offset || log.end != null
+            log.takeIf { cuts != cutsBefore || hasProgress && !faults.stalled }
         }.first { it != null } ?: progress.value
 
     private suspend fun writeToken(
@@ -73,12 +73,12 @@
         log: GenerationLog,
         offset: Int,
     ) {
-        val generation = if (crossTokens.takeOne()) "other-${log.generation.value}" else log.generation.value
+        val generation = if (crossedTokens.consumeOne()) "other-${log.generation.value}" else log.generation.value
         val token = EngineWire.Token(generation, EngineModel.tokenText(log.generation, offset))
         val data = Json.encodeToString(EngineWire.Token.serializer(), token)
         val event = "id: $offset\nevent: token\ndata: $data\n\n"
         channel.writeStringUtf8(event)
-        if (repeatTokens.takeOne()) channel.writeStringUtf8(event)
+        if (repeatedTokens.consumeOne()) channel.writeStringUtf8(event)
     }
 
     private suspend fun writeDone(
@@ -90,5 +90,5 @@
         channel.writeStringUtf8("event: done\ndata: $data\n\n")
     }
 
-    private fun AtomicInteger.takeOne(): Boolean = getAndUpdate { maxOf(0, it - 1) } > 0
+    private fun AtomicInteger.consumeOne(): Boolean = getAndUpdate { maxOf(0, it - 1) } > 0
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/GenerationLog.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/GenerationLog.kt
@@ -3,11 +3,11 @@
 import io.sequoiawheel.core.model.RequestId
 
 /**
- * What one engine produced for one generation and made visible so far.
+ * The published output of one generation at one engine.
  *
- * @property tokens tokens that can be read
- * @property end how it ended, or null while it runs
- * @property starts how often a generation with this id was started at the engine
+ * @property tokens number of tokens that can be read
+ * @property end how the generation ended, or null while it is running
+ * @property starts number of times a generation with this id was started at the engine
  */
 data class GenerationLog(
     val generation: RequestId,
@@ -20,10 +20,10 @@
         /** The output is complete. */
         DONE,
 
-        /** It was cancelled. */
+        /** The generation was cancelled. */
         CANCELLED,
 
-        /** The engine failed. */
+        /** The engine crashed. */
         LOST,
     }
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/GenerationStatus.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/GenerationStatus.kt
@@ -1,9 +1,9 @@
 package io.sequoiawheel.standin.engine
 
 /**
- * What the engine holds of one generation.
+ * Progress of one generation inside the engine.
  *
- * @property produced tokens that exist; all of them can be read again
+ * @property produced number of tokens produced so far; all of them can be read again
  * @property isDone whether the output is complete
  */
 data class GenerationStatus(
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/LengthDistribution.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/LengthDistribution.kt
@@ -3,10 +3,10 @@
 import kotlinx.serialization.Serializable
 
 /**
- * A log-normal output length.
+ * A log-normal distribution of output lengths.
  *
- * @property medianTokens median of the length
- * @property sigma standard deviation of the logarithm; 1.0 gives a mean of 1.65 medians and a 99th percentile of ten
+ * @property medianTokens median output length
+ * @property sigma standard deviation of the logarithm; at 1.0 the mean is 1.65 and the 99th percentile ten medians
  */
 @Serializable
 data class LengthDistribution(
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/ModelEvent.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/ModelEvent.kt
@@ -2,12 +2,12 @@
 
 import io.sequoiawheel.core.model.RequestId
 
-/** What happened to one generation in a step. */
+/** An event of one generation during a step. */
 sealed interface ModelEvent {
-    /** The generation. */
+    /** Id of the generation that the event belongs to. */
     val generation: RequestId
 
-    /** The token at [offset], counted from 0; its text is [EngineModel.tokenText]. */
+    /** A token was produced at the zero-based [offset]; its text is [EngineModel.tokenText]. */
     data class Token(
         override val generation: RequestId,
         val offset: Int,
@@ -19,12 +19,12 @@
         val tokens: Int,
     ) : ModelEvent
 
-    /** The generation lost its memory and waits to recompute. Engines do not tell their callers. */
+    /** The generation was preempted and is queued for recomputation. Engines do not report this to clients. */
     data class Preempted(
         override val generation: RequestId,
     ) : ModelEvent
 
-    /** The engine failed and the generation is gone. */
+    /** The generation was lost in a crash of the engine. */
     data class Lost(
         override val generation: RequestId,
     ) : ModelEvent
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/ModelRequest.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/ModelRequest.kt
@@ -3,13 +3,13 @@
 import io.sequoiawheel.core.model.RequestId
 
 /**
- * One generation as the engine sees it.
+ * A request for one generation.
  *
- * @property kind selects the distribution of the output length; callers do not know the length
- * @property promptTokens length of the prompt
- * @property maximumTokens limit of the output
- * @property priority higher values are served first and preempted last
- * @property promptBlocks hash chain of the prompt's full blocks; empty if the prompt shares no prefix
+ * @property kind selects the distribution of the output length, which clients do not know
+ * @property promptTokens length of the prompt in tokens
+ * @property maximumTokens maximum length of the output in tokens
+ * @property priority requests with higher values are served first and preempted last
+ * @property promptBlocks hash chain of the full blocks of the prompt; empty if it shares no prefix
  */
 data class ModelRequest(
     val generation: RequestId,
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/OutputLengths.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/OutputLengths.kt
@@ -7,18 +7,18 @@
 import kotlin.math.roundToInt
 
 /**
- * Draws output lengths. The length depends on the seed, the generation id and the kind only, so that every engine and
- * every policy meets the same work.
+ * Samples output lengths. A length depends only on the seed, the generation id and the kind, so that every engine and
+ * every policy gets the same workload.
  */
 class OutputLengths(
     private val seed: Long,
     private val byKind: Map<String, LengthDistribution> = DEFAULTS,
 ) {
-    /** Returns the output length of [request] in tokens, between 1 and its limit. */
+    /** Returns the output length of [request] in tokens, between 1 and the request's maximum. */
     fun draw(request: ModelRequest): Int {
         val distribution = byKind[request.kind] ?: FALLBACK
-        val mixed = request.generation.value.fold(seed) { hash, char -> (hash xor char.code.toLong()) * FNV_PRIME }
-        val random = RandomSource.XO_RO_SHI_RO_128_PP.create(mixed)
+        val mixedSeed = request.generation.value.fold(seed) { hash, char -> (hash xor char.code.toLong()) * FNV_PRIME }
+        val random = RandomSource.XO_RO_SHI_RO_128_PP.create(mixedSeed)
         val gaussian = ZigguratSampler.NormalizedGaussian.of(random)
         val sample = LogNormalSampler.of(gaussian, ln(distribution.medianTokens), distribution.sigma).sample()
         return sample.roundToInt().coerceIn(1, maxOf(1, request.maximumTokens))
@@ -30,7 +30,7 @@
 
         private val FALLBACK = LengthDistribution(medianTokens = 200.0, sigma = 1.0)
 
-        /** Distributions of the kinds that the deployments send. */
+        /** Distributions of the prompt kinds that the deployments use. */
         val DEFAULTS =
             mapOf(
                 "letter" to LengthDistribution(medianTokens = 700.0, sigma = 0.9),
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/PromptReader.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/PromptReader.kt
@@ -3,25 +3,27 @@
 import kotlin.math.max
 
 /**
- * How the stand-in engine reads a prompt. A token is [CHARACTERS_PER_TOKEN] characters. A prompt that begins with
- * `#kind ` selects the distribution of its output length; other prompts have the kind [OTHER_KIND].
+ * Derives the token count, kind and block hashes of a prompt. A token is [CHARACTERS_PER_TOKEN] characters. A prompt
+ * that starts with `#kind ` selects the distribution of its output length; other prompts have the kind [OTHER_KIND].
  */
 object PromptReader {
-    /** The usual ratio of tokenizers for English text. */
+    /** Typical number of characters per token for English text. */
     const val CHARACTERS_PER_TOKEN = 4
 
-    /** The kind of a prompt that names none. */
+    /** Kind of a prompt without a kind prefix. */
     const val OTHER_KIND = "other"
 
     private val kindPattern = Regex("""^#([a-z-]+)\s""")
 
-    /** Returns the kind that [prompt] names. */
+    /** Returns the kind given in [prompt], or [OTHER_KIND]. */
     fun kindOf(prompt: String): String = kindPattern.find(prompt)?.groupValues?.get(1) ?: OTHER_KIND
 
     /** Returns the length of [prompt] in tokens, at least 1. */
     fun tokensOf(prompt: String): Int = max(1, prompt.length / CHARACTERS_PER_TOKEN)
 
-    /** Returns the hash chain of the full [blockTokens]-token blocks; each hash covers the prompt from its start. */
+    /**
+     * Returns the hash chain of the full [blockTokens]-token blocks; each hash covers the prompt up to its block's end.
+     */
     fun blocksOf(
         prompt: String,
         blockTokens: Int,
@@ -36,7 +38,7 @@
         }
     }
 
-    /** Offset basis of the 64-bit FNV-1a hash, as a signed number. */
+    /** Offset basis of the 64-bit FNV-1a hash, as a signed integer. */
     private const val FNV_OFFSET_BASIS = -3_750_763_034_362_895_579L
 
     /** Prime of the 64-bit FNV-1a hash. */
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/StepResult.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/StepResult.kt
@@ -1,21 +1,21 @@
 package io.sequoiawheel.standin.engine
 
 /**
- * The outcome of one step.
+ * The result of one engine step.
  *
- * @property durationMillis when to call [EngineModel.step] again, counted from the step's start; 0 if the engine is
- *   idle and must be stepped after the next submission
- * @property events events that become visible at the end of the step
+ * @property durationMillis time from the start of the step until [EngineModel.step] must be called again; 0 if the
+ *   engine is idle and the next step follows the next submission
+ * @property events events to publish at the end of the step
  */
 class StepResult(
     val durationMillis: Double,
     val events: List<ModelEvent>,
 ) {
-    /** Whether there is nothing to do until the next submission. */
+    /** Whether the engine has no work until the next submission. */
     val isIdle: Boolean get() = durationMillis == 0.0
 
     companion object {
-        /** The step of an engine without work. */
+        /** Result of a step of an idle engine. */
         val IDLE = StepResult(0.0, emptyList())
     }
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/Submission.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/Submission.kt
@@ -1,19 +1,19 @@
 package io.sequoiawheel.standin.engine
 
-/** The engine's immediate answer to a request. Everything but [ACCEPTED] means that nothing ran. */
+/** Result of submitting a request. With any value other than [ACCEPTED], the request did not run. */
 enum class Submission {
-    /** The request is in the batch or waits for it. */
+    /** The request was queued. */
     ACCEPTED,
 
-    /** A generation with this id is known already. */
+    /** A generation with this id already exists. */
     DUPLICATE,
 
     /** The model is not loaded. */
     MODEL_NOT_LOADED,
 
-    /** Prompt and output limit exceed the memory. */
+    /** The prompt and the output limit together exceed the key-value memory. */
     TOO_LARGE,
 
-    /** The engine is restarting and does not listen. */
+    /** The engine is restarting and does not accept requests. */
     DOWN,
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/internal/BlockMemory.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/internal/BlockMemory.kt
@@ -2,7 +2,7 @@
 
 import io.sequoiawheel.standin.engine.EngineSettings
 
-/** The key-value memory in blocks. */
+/** Allocator of the key-value memory, in blocks. */
 internal class BlockMemory(
     private val settings: EngineSettings,
 ) {
@@ -12,13 +12,13 @@
 
     val usedTokens: Long get() = usedBlocks.toLong() * settings.blockTokens
 
-    /** Whether a sequence of [tokens] can be admitted; the reserve is ignored while nothing runs. */
+    /** Returns whether a sequence of [tokens] can be admitted; an idle engine ignores the reserve. */
     fun fits(
         tokens: Int,
         isIdle: Boolean,
     ): Boolean = usedBlocks + blocksOf(tokens) <= totalBlocks - (if (isIdle) 0 else reserveBlocks)
 
-    /** Grows [sequence] to hold [tokens]; returns false if the memory is full. */
+    /** Grows the allocation of [sequence] to [tokens]; returns false if there is not enough free memory. */
     fun grow(
         sequence: Sequence,
         tokens: Int,
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/internal/LoadSamples.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/internal/LoadSamples.kt
@@ -3,7 +3,7 @@
 import io.sequoiawheel.core.model.LoadReport
 import io.sequoiawheel.standin.engine.EngineSettings
 
-/** Recent samples of the engine's load, from which the lagging report is taken. */
+/** Recent samples of the engine's load, from which the delayed load report is served. */
 internal class LoadSamples(
     private val settings: EngineSettings.Report,
 ) {
@@ -27,8 +27,8 @@
         while (samples.size > 1 && samples[1].takenAtMillis <= nowMillis - settings.lagMillis) samples.removeFirst()
     }
 
-    /** Returns the newest sample that is at least the lag old, or the oldest one. */
-    fun lagging(nowMillis: Long): LoadReport {
+    /** Returns the newest report that is at least as old as the configured lag, or the oldest one. */
+    fun delayedReport(nowMillis: Long): LoadReport {
         val sample =
             samples.lastOrNull { it.takenAtMillis <= nowMillis - settings.lagMillis } ?: samples.first()
         return sample.report.copy(ageMillis = nowMillis - sample.takenAtMillis)
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/internal/OrderBook.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/internal/OrderState.kt
@@ -3,8 +3,8 @@
 import io.sequoiawheel.standin.engine.EngineOrder
 import io.sequoiawheel.standin.engine.EngineSettings
 
-/** Orders that the engine has taken, by target, and the models that follow from them. */
-internal class OrderBook(
+/** The latest accepted order of each target, and the models that are loaded as a result. */
+internal class OrderState(
     private val settings: EngineSettings,
 ) {
     private class Entry(
@@ -16,8 +16,8 @@
     private val entries = LinkedHashMap<String, Entry>()
     private var highestFencing = 0L
 
-    /** Takes an order; returns false if its fencing number is old and this engine checks it. */
-    fun take(
+    /** Applies an order; returns false if this engine checks fencing numbers and this one is stale. */
+    fun accept(
         target: String,
         fencing: Long,
         desired: String,
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/internal/PrefixCache.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/internal/PrefixCache.kt
@@ -4,27 +4,27 @@
 import io.sequoiawheel.standin.engine.EngineSettings
 import org.apache.commons.rng.UniformRandomProvider
 
-/** Least-recently-used cache of prompt blocks that publishes its changes late and with gaps. */
+/** LRU cache of prompt blocks whose change events are published with a delay and may be lost. */
 internal class PrefixCache(
     private val settings: EngineSettings.Cache,
     private val random: UniformRandomProvider,
 ) {
-    private class Published(
+    private class PublishedEvent(
         val visibleAtMillis: Long,
         val event: CacheEvent,
     )
 
     private val blocks = LinkedHashMap<Long, Unit>(INITIAL_CAPACITY, LOAD_FACTOR, true)
-    private val feed = ArrayDeque<Published>()
+    private val feed = ArrayDeque<PublishedEvent>()
     private var lastSequence = 0L
 
-    /** Returns how many leading blocks of [chain] are cached. */
+    /** Returns the number of leading blocks of [chain] that are cached. */
     fun matchingBlocks(chain: List<Long>): Int {
-        val miss = chain.indexOfFirst { it !in blocks }
-        return if (miss < 0) chain.size else miss
+        val firstMiss = chain.indexOfFirst { it !in blocks }
+        return if (firstMiss < 0) chain.size else firstMiss
     }
 
-    /** Caches [chain], evicting the least recently used blocks. */
+    /** Adds [chain] to the cache and evicts the least recently used blocks if it is full. */
     fun store(
         chain: List<Long>,
         nowMillis: Long,
@@ -40,13 +40,13 @@
         if (added.isNotEmpty() || evicted.isNotEmpty()) publish(added, evicted, nowMillis)
     }
 
-    /** Returns visible events with a number above [after]. */
+    /** Returns the published events with a number above [after]. */
     fun events(
         after: Long,
         nowMillis: Long,
     ): List<CacheEvent> = feed.filter { it.event.sequence > after && it.visibleAtMillis <= nowMillis }.map { it.event }
 
-    /** Empties the cache and restarts the numbering, as a new process does. */
+    /** Clears the cache and restarts the event numbers, as after a process restart. */
     fun reset() {
         blocks.clear()
         feed.clear()
@@ -60,7 +60,7 @@
     ) {
         lastSequence++
         if (random.nextDouble() < settings.gapProbability) return
-        feed.addLast(Published(nowMillis + settings.delayMillis, CacheEvent(lastSequence, stored, evicted)))
+        feed.addLast(PublishedEvent(nowMillis + settings.delayMillis, CacheEvent(lastSequence, stored, evicted)))
         while (feed.size > settings.keptEvents) feed.removeFirst()
     }
 
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/internal/Sequence.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/internal/Sequence.kt
@@ -2,7 +2,7 @@
 
 import io.sequoiawheel.standin.engine.ModelRequest
 
-/** One generation inside the engine. */
+/** Scheduling state of one generation. */
 internal class Sequence(
     val request: ModelRequest,
     val length: Int,
@@ -18,7 +18,7 @@
     val tokens: Int get() = request.promptTokens + produced
 
     companion object {
-        /** Order in which waiting sequences are admitted; the last of the running ones is preempted first. */
+        /** Order in which waiting sequences are admitted; running sequences are preempted in the reverse order. */
         val SERVICE_ORDER: Comparator<Sequence> =
             compareByDescending<Sequence> { it.request.priority }.thenBy { it.number }
     }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/engine/internal/Warmth.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/engine/internal/WarmupState.kt
@@ -3,8 +3,8 @@
 import io.sequoiawheel.standin.engine.EngineSettings
 import kotlin.math.pow
 
-/** How warm the engine is, and whether its batch is too large for that. */
-internal class Warmth(
+/** Tracks the warm-up progress of the engine and detects batches that are too large for it. */
+internal class WarmupState(
     private val settings: EngineSettings.Cold,
     private val maximumConcurrent: Int,
     startsCold: Boolean,
@@ -16,7 +16,7 @@
 
     private val progress: Double get() = steps.toDouble() / settings.warmingSteps
 
-    /** Factor of the step duration. */
+    /** Factor applied to the step duration. */
     val slowdown: Double get() = if (isCold) 1 + (settings.slowdown - 1) * (1 - progress) else 1.0
 
     fun turnCold() {
@@ -24,12 +24,12 @@
         overloadedSteps = 0
     }
 
-    /** Records a step with a batch of [concurrent]; returns true if the engine fails. */
+    /** Records a step with [concurrent] requests in the batch; returns true if the overload crashes the engine. */
     fun recordStep(concurrent: Int): Boolean {
         if (!isCold) return false
         val growth = maximumConcurrent.toDouble() / settings.safeConcurrent
-        val safe = settings.safeConcurrent * growth.pow(progress)
-        if (concurrent > safe) overloadedSteps++ else overloadedSteps = 0
+        val safeBatch = settings.safeConcurrent * growth.pow(progress)
+        if (concurrent > safeBatch) overloadedSteps++ else overloadedSteps = 0
         steps++
         return overloadedSteps > settings.toleratedSteps
     }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/instances/InstanceListFaults.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/instances/InstanceListFaults.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** Changes the lag of the instance list, in milliseconds. */
+/** Sets the lag of the instance list to [lagMillis]. */
 @Serializable
 data class InstanceListFaults(
     val lagMillis: Long,
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/instances/InstanceListModel.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/instances/InstanceListModel.kt
@@ -8,8 +8,8 @@
 import kotlin.concurrent.withLock
 
 /**
- * The platform's instance list without I/O. A reader sees the state of [InstanceListSettings.lagMillis] ago. All times
- * are milliseconds of one monotonic clock. It is thread-safe.
+ * The platform's instance list without I/O. Reads return the state of [InstanceListSettings.lagMillis] ago. All times
+ * are milliseconds of one monotonic clock. This class is thread-safe.
  */
 class InstanceListModel(
     private val settings: InstanceListSettings,
@@ -20,16 +20,16 @@
     private val registered = HashMap<InstanceId, Registration>()
     private var lagMillis = settings.lagMillis
 
-    /** Registers [instance], renews its registration, or changes its state. */
+    /** Registers [instance], renews its registration, or updates its state. */
     fun register(
         instance: Instance,
         nowMillis: Long,
     ) = lock.withLock {
-        val before = registered.put(instance.id, Registration(instance, nowMillis))
-        if (before?.instance != instance) pending += Change(nowMillis, instance.id, instance)
+        val previous = registered.put(instance.id, Registration(instance, nowMillis))
+        if (previous?.instance != instance) pending += Change(nowMillis, instance.id, instance)
     }
 
-    /** Removes the instance [id]; removing an unknown one has no effect. */
+    /** Removes the instance with this [id]; an unknown id is ignored. */
     fun remove(
         id: InstanceId,
         nowMillis: Long,
@@ -38,7 +38,7 @@
             if (registered.remove(id) != null) pending += Change(nowMillis, id, null)
         }
 
-    /** Returns the list as it was before the lag. */
+    /** Returns the list delayed by the configured lag. */
     fun read(nowMillis: Long): ImmutableList<Instance> =
         lock.withLock {
             expire(nowMillis)
@@ -50,8 +50,8 @@
             visible.values.toImmutableList()
         }
 
-    /** Puts [faults] in force. */
-    fun order(faults: InstanceListFaults) = lock.withLock { lagMillis = faults.lagMillis }
+    /** Applies [faults]. */
+    fun applyFaults(faults: InstanceListFaults) = lock.withLock { lagMillis = faults.lagMillis }
 
     private fun expire(nowMillis: Long) {
         val expired = registered.filterValues { it.renewedAtMillis + settings.heartbeatTimeoutMillis < nowMillis }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/instances/InstanceListServer.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/instances/InstanceListServer.kt
@@ -13,35 +13,35 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.SerializationException
 
-/** The instance list over HTTP: `GET /instances`, `PUT /instances/{id}`, `DELETE /instances/{id}`. */
+/** HTTP server of the instance list: `GET /instances`, `PUT /instances/{id}`, `DELETE /instances/{id}`. */
 class InstanceListServer(
     settings: InstanceListSettings = InstanceListSettings(),
 ) : StandInServer(settings.port) {
-    /** The list itself; it outlives a restart of the server. */
+    /** The instance list; its contents survive a restart of the server. */
     val model = InstanceListModel(settings)
 
     override fun Routing.routes() {
         get("/instances") {
             val body = ListBody(model.read(clock.nowMillis()))
-            answer(call, json.encodeToString(ListBody.serializer(), body))
+            respondJson(call, json.encodeToString(ListBody.serializer(), body))
         }
         put("/instances/{id}") {
             val instance = decode(call.receiveText())
             if (instance == null || instance.id.value != call.parameters["id"]) {
-                return@put answer(call, "{}", HttpStatusCode.BadRequest)
+                return@put respondJson(call, "{}", HttpStatusCode.BadRequest)
             }
             model.register(instance, clock.nowMillis())
-            answer(call, "{}")
+            respondJson(call, "{}")
         }
         delete("/instances/{id}") {
             model.remove(InstanceId(call.parameters["id"].orEmpty()), clock.nowMillis())
-            answer(call, "{}")
+            respondJson(call, "{}")
         }
     }
 
-    override suspend fun order(faults: FaultOrder): String? {
-        if (faults.copy(instances = null).hasModelPart) return UNKNOWN_PART
-        faults.instances?.let(model::order)
+    override suspend fun applyFaults(faults: FaultOrder): String? {
+        if (faults.copy(instances = null).hasModelFaults) return UNSUPPORTED_FAULTS
+        faults.instances?.let(model::applyFaults)
         return null
     }
 
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/instances/InstanceListSettings.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/instances/InstanceListSettings.kt
@@ -3,9 +3,9 @@
 import kotlinx.serialization.Serializable
 
 /**
- * @property port port of the HTTP server, or 0
- * @property lagMillis age of the state that a reader sees
- * @property heartbeatTimeoutMillis an instance that has not registered for this long is removed
+ * @property port port of the HTTP server, or 0 for any free port
+ * @property lagMillis age of the state that reads return
+ * @property heartbeatTimeoutMillis time without a renewal after which an instance is removed
  */
 @Serializable
 data class InstanceListSettings(
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/plain/AnswerFault.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/plain/AnswerFault.kt
@@ -3,10 +3,10 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What goes wrong with one call of a plain service. */
+/** A fault that affects one call of a plain service. */
 @Serializable
 enum class AnswerFault {
-    /** The call is refused with proof that it did not run. */
+    /** The call is refused with a header that states that it did not run. */
     @SerialName("refused")
     REFUSED,
 
@@ -18,15 +18,15 @@
     @SerialName("late")
     LATE,
 
-    /** The call runs and is answered with the answer of another call. */
+    /** The call runs and gets the answer of another call. */
     @SerialName("crossed")
     CROSSED,
 
-    /** The call runs and the connection ends without an answer. */
+    /** The call runs and the connection is aborted without an answer. */
     @SerialName("lost")
     LOST,
 
-    /** The call runs and its answer names another request. */
+    /** The call runs and its answer contains the id of another request. */
     @SerialName("mismatched")
     MISMATCHED,
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/plain/PlainReply.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/plain/PlainReply.kt
@@ -2,9 +2,9 @@
 
 import io.sequoiawheel.core.model.RequestId
 
-/** What a plain service says to one call. */
+/** The reply of a plain service to one call. */
 sealed interface PlainReply {
-    /** The call runs; its answer comes from [PlainServiceModel.finish] after the run's duration. */
+    /** The call runs; [PlainServiceModel.finish] returns its answer after the duration of the run. */
     data class Started(
         val run: PlainRun,
     ) : PlainReply
@@ -14,7 +14,7 @@
         val reason: String,
     ) : PlainReply
 
-    /** The service has no such call; it did not run. */
+    /** The service has no call of this name; nothing ran. */
     data object Unknown : PlainReply
 
     /** The answer [body] of the request [requestId] with HTTP [status], to be sent after [delayMillis]. */
@@ -25,6 +25,6 @@
         val delayMillis: Long = 0,
     ) : PlainReply
 
-    /** The answer is lost with its connection. */
+    /** The answer is lost and the connection is aborted. */
     data object Lost : PlainReply
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/plain/PlainRun.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/plain/PlainRun.kt
@@ -5,10 +5,10 @@
 import kotlinx.serialization.json.buildJsonObject
 
 /**
- * One run of a call at a plain service.
+ * One execution of a call at a plain service.
  *
- * @property body the JSON text that the caller sent
- * @property durationMillis how long the run takes
+ * @property body the JSON text that the client sent
+ * @property durationMillis duration of the run
  */
 data class PlainRun(
     val number: Long,
@@ -19,7 +19,7 @@
     internal val fault: AnswerFault?,
     internal val lateMillis: Long,
 ) {
-    /** The JSON text that answers the call; it names the request and contains what was received. */
+    /** The JSON answer to the call, which contains the request id and the received body. */
     val answer: String
         get() =
             buildJsonObject {
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/plain/PlainServiceFaults.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/plain/PlainServiceFaults.kt
@@ -3,12 +3,12 @@
 import kotlinx.serialization.Serializable
 
 /**
- * An order for faults of a plain service.
+ * Faults to inject into a plain service.
  *
- * @property answers faults of the next calls, one each, in order; they follow those already ordered
- * @property call the call that [answers] waits for; null means any call
+ * @property answers faults of the next calls, one per call, in this order; they are queued after those already pending
+ * @property call name of the call that [answers] applies to; null means any call
  * @property lateMillis delay of a late answer
- * @property turnCold the server becomes cold again without a restart
+ * @property turnCold resets the warm-up period without a restart
  */
 @Serializable
 data class PlainServiceFaults(
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/plain/PlainServiceModel.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/plain/PlainServiceModel.kt
@@ -9,8 +9,8 @@
 import kotlin.concurrent.withLock
 
 /**
- * A plain service without I/O. It records every run and never removes repeated requests, so that a second run of the
- * same request shows. Times are milliseconds of one monotonic clock. It is thread-safe.
+ * A plain service without I/O. It records every run and does not deduplicate requests, so that tests can detect a
+ * request that ran twice. Times are milliseconds of one monotonic clock. This class is thread-safe.
  */
 class PlainServiceModel(
     private val settings: PlainServiceSettings,
@@ -18,25 +18,25 @@
 ) {
     private val lock = ReentrantLock()
     private val recorded = ArrayList<PlainRun>()
-    private val ordered = ArrayDeque<OrderedFault>()
+    private val pendingFaults = ArrayDeque<PendingFault>()
     private var starts = 0
     private var warmAtMillis = 0L
     private var active = 0
-    private var refusals = 0
-    private var coldRefusals = 0
+    private var overloadCount = 0
+    private var coldOverloadCount = 0
     private var lastAnswer: PlainReply.Answer? = null
     private var sample: Sample? = null
 
-    /** All runs since the model was made, in the order of their start. */
+    /** All runs since the model was created, in the order in which they started. */
     val runs: ImmutableList<PlainRun> get() = lock.withLock { recorded.toImmutableList() }
 
-    /** Calls that exceeded the concurrency of the server and were refused. */
-    val overloads: Int get() = lock.withLock { refusals }
+    /** Number of calls refused because they exceeded the concurrency limit of the server. */
+    val overloads: Int get() = lock.withLock { overloadCount }
 
-    /** Those of [overloads] that met a cold server. */
-    val coldOverloads: Int get() = lock.withLock { coldRefusals }
+    /** Number of [overloads] while the server was cold. */
+    val coldOverloads: Int get() = lock.withLock { coldOverloadCount }
 
-    /** Starts the process anew: it is cold, and its earlier calls are gone. */
+    /** Simulates a restart of the process: the server is cold and its active calls are lost. */
     fun restart(nowMillis: Long) =
         lock.withLock {
             starts++
@@ -45,16 +45,16 @@
             warmAtMillis = nowMillis + settings.coldMillis
         }
 
-    /** Puts [faults] in force. */
-    fun order(
+    /** Applies [faults]. */
+    fun applyFaults(
         faults: PlainServiceFaults,
         nowMillis: Long,
     ) = lock.withLock {
-        faults.answers.forEach { ordered += OrderedFault(it, faults.call, faults.lateMillis) }
+        faults.answers.forEach { pendingFaults += PendingFault(it, faults.call, faults.lateMillis) }
         if (faults.turnCold) warmAtMillis = nowMillis + settings.coldMillis
     }
 
-    /** Starts a call, or says that it did not run. */
+    /** Starts a call, or returns a reply that states that it did not run. */
     fun begin(
         requestId: RequestId,
         call: String,
@@ -63,13 +63,13 @@
     ): PlainReply =
         lock.withLock {
             val callSettings = settings.calls[call] ?: return PlainReply.Unknown
-            if (active >= concurrency(nowMillis)) {
-                refusals++
-                if (nowMillis < warmAtMillis) coldRefusals++
-                return PlainReply.Refused("all ${concurrency(nowMillis)} places are taken")
+            if (active >= concurrencyLimit(nowMillis)) {
+                overloadCount++
+                if (nowMillis < warmAtMillis) coldOverloadCount++
+                return PlainReply.Refused("all ${concurrencyLimit(nowMillis)} concurrency slots are in use")
             }
-            val fault = takeFault(call)
-            if (fault?.kind == AnswerFault.REFUSED) return PlainReply.Refused("refused by order")
+            val fault = pollFault(call)
+            if (fault?.kind == AnswerFault.REFUSED) return PlainReply.Refused("refused by an injected fault")
             active++
             val duration = callSettings.durationMillis + random.nextLong(callSettings.jitterMillis + 1)
             val number = recorded.size.toLong()
@@ -78,30 +78,30 @@
             PlainReply.Started(run)
         }
 
-    /** Ends [run] and returns its answer with the fault that was ordered for it. */
+    /** Finishes [run] and returns its reply, with the fault of the run applied. */
     fun finish(run: PlainRun): PlainReply =
         lock.withLock {
             active = (active - 1).coerceAtLeast(0)
-            val whole = PlainReply.Answer(run.requestId, STATUS_OK, run.answer)
-            val foreign = RequestId("other-${run.requestId.value}")
+            val complete = PlainReply.Answer(run.requestId, STATUS_OK, run.answer)
+            val otherRequestId = RequestId("other-${run.requestId.value}")
             val reply =
                 when (run.fault) {
-                    null, AnswerFault.REFUSED -> whole
+                    null, AnswerFault.REFUSED -> complete
                     AnswerFault.FAILED -> PlainReply.Answer(run.requestId, STATUS_FAILED, "{}")
-                    AnswerFault.LATE -> whole.copy(delayMillis = run.lateMillis)
-                    AnswerFault.CROSSED -> lastAnswer ?: whole.copy(requestId = foreign)
+                    AnswerFault.LATE -> complete.copy(delayMillis = run.lateMillis)
+                    AnswerFault.CROSSED -> lastAnswer ?: complete.copy(requestId = otherRequestId)
                     AnswerFault.LOST -> PlainReply.Lost
-                    AnswerFault.MISMATCHED -> whole.copy(requestId = foreign)
+                    AnswerFault.MISMATCHED -> complete.copy(requestId = otherRequestId)
                 }
-            lastAnswer = whole
+            lastAnswer = complete
             reply
         }
 
-    /** Returns a load report that may be up to [PlainServiceSettings.reportLagMillis] old. */
+    /** Returns a load report, which is at most [PlainServiceSettings.reportLagMillis] old. */
     fun load(nowMillis: Long): LoadReport =
         lock.withLock {
-            val known = sample?.takeIf { nowMillis - it.atMillis <= settings.reportLagMillis }
-            val current = known ?: Sample(nowMillis, report(nowMillis)).also { sample = it }
+            val fresh = sample?.takeIf { nowMillis - it.atMillis <= settings.reportLagMillis }
+            val current = fresh ?: Sample(nowMillis, report(nowMillis)).also { sample = it }
             current.report.copy(ageMillis = nowMillis - current.atMillis)
         }
 
@@ -110,19 +110,19 @@
             startId = "start-$starts",
             cold = nowMillis < warmAtMillis,
             running = active,
-            maximumConcurrent = concurrency(nowMillis),
+            maximumConcurrent = concurrencyLimit(nowMillis),
         )
 
-    private fun concurrency(nowMillis: Long): Int =
+    private fun concurrencyLimit(nowMillis: Long): Int =
         if (nowMillis < warmAtMillis) settings.coldConcurrent else settings.maximumConcurrent
 
-    private fun takeFault(call: String): OrderedFault? {
-        val fault = ordered.firstOrNull { it.call == null || it.call == call } ?: return null
-        ordered.remove(fault)
+    private fun pollFault(call: String): PendingFault? {
+        val fault = pendingFaults.firstOrNull { it.call == null || it.call == call } ?: return null
+        pendingFaults.remove(fault)
         return fault
     }
 
-    private class OrderedFault(
+    private class PendingFault(
         val kind: AnswerFault,
         val call: String?,
         val lateMillis: Long,
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/plain/PlainServiceServer.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/plain/PlainServiceServer.kt
@@ -16,9 +16,10 @@
 import org.apache.commons.rng.simple.RandomSource
 
 /**
- * A plain service over HTTP: `POST /calls/{call}` and `GET /load`. A refusal carries `X-Not-Run` with the request id.
+ * HTTP server of a plain service: `POST /calls/{call}` and `GET /load`. A refusal has the header `X-Not-Run` with the
+ * request id.
  *
- * @param seed seed of the durations
+ * @param seed seed for the random durations of the calls
  */
 class PlainServiceServer(
     settings: PlainServiceSettings,
@@ -26,21 +27,21 @@
     port: Int = 0,
     private val observer: BackendObserver = BackendObserver,
 ) : StandInServer(port) {
-    /** The service itself; its record of runs outlives a restart of the server. */
+    /** The simulated service; its recorded runs survive a restart of the server. */
     val model = PlainServiceModel(settings, RandomSource.XO_RO_SHI_RO_128_PP.create(seed))
 
     override suspend fun onStart() = model.restart(clock.nowMillis())
 
-    override suspend fun onStop() = observer.onDeath()
+    override suspend fun onStop() = observer.onProcessEnd()
 
     override fun Routing.routes() {
         post("/calls/{call}") { serve(call) }
-        get("/load") { answer(call, json.encodeToString(LoadReport.serializer(), model.load(clock.nowMillis()))) }
+        get("/load") { respondJson(call, json.encodeToString(LoadReport.serializer(), model.load(clock.nowMillis()))) }
     }
 
-    override suspend fun order(faults: FaultOrder): String? {
-        if (faults.copy(plain = null).hasModelPart) return UNKNOWN_PART
-        faults.plain?.let { model.order(it, clock.nowMillis()) }
+    override suspend fun applyFaults(faults: FaultOrder): String? {
+        if (faults.copy(plain = null).hasModelFaults) return UNSUPPORTED_FAULTS
+        faults.plain?.let { model.applyFaults(it, clock.nowMillis()) }
         return null
     }
 
@@ -67,12 +68,12 @@
         when (reply) {
             is PlainReply.Answer -> {
                 delay(reply.delayMillis)
-                if (link.cutCount.value != cutsBefore) return breakConnection()
+                if (link.cutCount.value != cutsBefore) return abortConnection()
                 val status = HttpStatusCode.fromValue(reply.status)
-                answer(call, reply.body, status, mapOf("X-Request-Id" to reply.requestId.value))
+                respondJson(call, reply.body, status, mapOf("X-Request-Id" to reply.requestId.value))
             }
 
-            else -> breakConnection()
+            else -> abortConnection()
         }
     }
 
@@ -80,5 +81,5 @@
         call: ApplicationCall,
         requestId: RequestId,
         status: HttpStatusCode,
-    ) = answer(call, "{}", status, mapOf("X-Request-Id" to requestId.value, "X-Not-Run" to requestId.value))
+    ) = respondJson(call, "{}", status, mapOf("X-Request-Id" to requestId.value, "X-Not-Run" to requestId.value))
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/plain/PlainServiceSettings.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/plain/PlainServiceSettings.kt
@@ -3,11 +3,11 @@
 import kotlinx.serialization.Serializable
 
 /**
- * @property calls the calls by name
- * @property maximumConcurrent calls that a warm server handles at once; it refuses more
- * @property coldConcurrent calls that a cold server handles at once
- * @property coldMillis how long a server stays cold after its start
- * @property reportLagMillis age up to which a load report is served again
+ * @property calls the supported calls by name
+ * @property maximumConcurrent maximum number of concurrent calls of a warm server; further calls are refused
+ * @property coldConcurrent maximum number of concurrent calls of a cold server
+ * @property coldMillis how long a server is cold after its start
+ * @property reportLagMillis maximum age of a load report before it is recomputed
  */
 @Serializable
 data class PlainServiceSettings(
@@ -17,7 +17,7 @@
     val coldMillis: Long = 5_000,
     val reportLagMillis: Long = 200,
 ) {
-    /** How long a call runs: [durationMillis] plus up to [jitterMillis]. */
+    /** Duration of a call: [durationMillis] plus a random time of up to [jitterMillis]. */
     @Serializable
     data class Call(
         val durationMillis: Long = 20,
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/server/BackendObserver.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/server/BackendObserver.kt
@@ -2,30 +2,32 @@
 
 import io.sequoiawheel.core.model.RequestId
 
-/** Is told what one backend server does, so that a run can be checked afterwards. Implementations are thread-safe. */
+/**
+ * Receives the events of one backend server, so that a run can be checked afterwards. Implementations are thread-safe.
+ */
 interface BackendObserver {
-    /** New work for [request] arrived, whether or not it is taken. */
+    /** Called when [request] arrives, whether or not it is accepted. */
     fun onArrival(request: RequestId) = Unit
 
-    /** The work of [request] starts. */
+    /** Called when the server starts to process [request]. */
     fun onStart(request: RequestId) = Unit
 
-    /** The work of [request] ended, with [answer] if there is one. */
+    /** Called when the processing of [request] ends, with its [answer] if there is one. */
     fun onEnd(
         request: RequestId,
         answer: String?,
     ) = Unit
 
-    /** The token at [offset] of [generation] exists. */
+    /** Called when the token at [offset] of [generation] was produced. */
     fun onToken(
         generation: RequestId,
         offset: Int,
         text: String,
     ) = Unit
 
-    /** The process ended with its work. */
-    fun onDeath() = Unit
+    /** Called when the process ends; its unfinished work is lost. */
+    fun onProcessEnd() = Unit
 
-    /** Observes nothing. */
+    /** Ignores all events. */
     companion object None : BackendObserver
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/server/FaultOrder.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/server/FaultOrder.kt
@@ -7,13 +7,13 @@
 import kotlinx.serialization.Serializable
 
 /**
- * The body of `PUT /faults`. A part that is absent leaves its faults as they are; a part that the stand-in does not
- * have is an error.
+ * The body of `PUT /faults`. An absent property leaves the faults of that component unchanged; faults of a component
+ * that the stand-in does not have are rejected.
  *
- * @property link faults of the network and process, for every stand-in
+ * @property link faults of the network and the process, supported by every stand-in
  * @property engine faults of a model engine
  * @property plain faults of a plain service
- * @property store faults of the object API, which every client of the store sees
+ * @property store faults of the object API, which affect every client of the store
  * @property instances faults of the instance list
  */
 @Serializable
@@ -24,6 +24,6 @@
     val store: StoreFaults? = null,
     val instances: InstanceListFaults? = null,
 ) {
-    /** Whether the order has a part for a model. */
-    val hasModelPart: Boolean get() = listOfNotNull(engine, plain, store, instances).isNotEmpty()
+    /** Whether any faults other than those of the link are set. */
+    val hasModelFaults: Boolean get() = listOfNotNull(engine, plain, store, instances).isNotEmpty()
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/server/HistoryObserver.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/server/HistoryObserver.kt
@@ -7,8 +7,8 @@
 import io.sequoiawheel.core.model.RequestId
 
 /**
- * Records what [replica] does in a history. Entry instances send `<request id>.<attempt id>`; the history names the
- * request, while the runs of tokens keep the whole id.
+ * Records the events of [replica] in a history. Entry instances send ids of the form `<request id>.<attempt id>`.
+ * Request events are recorded under the request id; token events keep the full id.
  */
 class HistoryObserver(
     private val recorder: HistoryRecorder,
@@ -16,15 +16,15 @@
     private val clock: Clock,
 ) : BackendObserver {
     override fun onArrival(request: RequestId) =
-        recorder.record(HistoryEvent.Dispatched(clock.nowMillis(), original(request), UNKNOWN_ENTRY, replica))
+        recorder.record(HistoryEvent.Dispatched(clock.nowMillis(), originalRequestId(request), UNKNOWN_ENTRY, replica))
 
     override fun onStart(request: RequestId) =
-        recorder.record(HistoryEvent.RunStarted(clock.nowMillis(), original(request), replica))
+        recorder.record(HistoryEvent.RunStarted(clock.nowMillis(), originalRequestId(request), replica))
 
     override fun onEnd(
         request: RequestId,
         answer: String?,
-    ) = recorder.record(HistoryEvent.RunEnded(clock.nowMillis(), original(request), replica, answer))
+    ) = recorder.record(HistoryEvent.RunEnded(clock.nowMillis(), originalRequestId(request), replica, answer))
 
     override fun onToken(
         generation: RequestId,
@@ -32,13 +32,13 @@
         text: String,
     ) = recorder.record(HistoryEvent.TokenProduced(clock.nowMillis(), generation.value, offset, text))
 
-    override fun onDeath() = recorder.record(HistoryEvent.ReplicaLost(clock.nowMillis(), replica))
+    override fun onProcessEnd() = recorder.record(HistoryEvent.ReplicaLost(clock.nowMillis(), replica))
 
     companion object {
-        /** A backend server does not know which entry instance sent the work. */
+        /** Placeholder, because a backend server does not know which entry instance sent a request. */
         val UNKNOWN_ENTRY = InstanceId("unknown")
 
-        /** Returns the caller's request id in the id that a backend server received. */
-        fun original(request: RequestId): RequestId = RequestId(request.value.substringBeforeLast('.'))
+        /** Returns the client's request id contained in the id that a backend server received. */
+        fun originalRequestId(request: RequestId): RequestId = RequestId(request.value.substringBeforeLast('.'))
     }
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/server/Link.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/server/Link.kt
@@ -6,42 +6,42 @@
 import kotlinx.coroutines.flow.first
 import java.util.concurrent.atomic.AtomicInteger
 
-/** The state of the link of one stand-in. It is thread-safe. */
+/** The simulated network link of one stand-in and its faults. This class is thread-safe. */
 class Link {
-    private val faultsNow = MutableStateFlow(LinkFaults())
-    private val answersToLose = AtomicInteger()
+    private val currentFaults = MutableStateFlow(LinkFaults())
+    private val pendingAnswerLosses = AtomicInteger()
     private val cuts = MutableStateFlow(0)
 
-    /** The faults in force. */
-    val faults: StateFlow<LinkFaults> get() = faultsNow
+    /** The current faults. */
+    val faults: StateFlow<LinkFaults> get() = currentFaults
 
-    /** How often the open connections have been cut; whoever serves a stream ends it when the number changes. */
+    /** Number of times the open connections were cut; a stream must be aborted when this number changes. */
     val cutCount: StateFlow<Int> get() = cuts
 
-    /** Puts [faults] in force in place of the earlier ones. */
-    fun order(faults: LinkFaults) {
-        answersToLose.set(faults.loseAnswers)
-        faultsNow.value = faults
+    /** Replaces the current faults with [faults]. */
+    fun applyFaults(faults: LinkFaults) {
+        pendingAnswerLosses.set(faults.loseAnswers)
+        currentFaults.value = faults
         if (faults.cutConnections) cutConnections()
     }
 
-    /** Ends the open streams and calls without an answer. */
+    /** Aborts the open streams and the calls that were not answered yet. */
     fun cutConnections() {
         cuts.value += 1
     }
 
-    /** Suspends while the link is stalled. */
-    suspend fun awaitFlow() {
-        if (faultsNow.value.stalled) faultsNow.first { !it.stalled }
+    /** Suspends until the link is not stalled. */
+    suspend fun awaitNotStalled() {
+        if (currentFaults.value.stalled) currentFaults.first { !it.stalled }
     }
 
-    /** Suspends for as long as the link holds up a call. */
-    suspend fun awaitPassage() {
-        awaitFlow()
-        val slowMillis = faultsNow.value.slowMillis
+    /** Suspends a call while the link is stalled and then for the configured delay. */
+    suspend fun awaitDelay() {
+        awaitNotStalled()
+        val slowMillis = currentFaults.value.slowMillis
         if (slowMillis > 0) delay(slowMillis)
     }
 
-    /** Returns whether the answer that is about to be sent is lost, and counts it. */
-    fun losesAnswer(): Boolean = answersToLose.getAndUpdate { (it - 1).coerceAtLeast(0) } > 0
+    /** Returns whether to lose the next answer, and decrements the number of answers to lose. */
+    fun consumeAnswerLoss(): Boolean = pendingAnswerLosses.getAndUpdate { (it - 1).coerceAtLeast(0) } > 0
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/server/LinkFaults.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/server/LinkFaults.kt
@@ -3,15 +3,16 @@
 import kotlinx.serialization.Serializable
 
 /**
- * The faults of the network and process around a stand-in. An order replaces all of them, so an empty order heals the
- * link.
+ * Faults of the network and the process of a stand-in. New faults replace all earlier ones, so an empty object restores
+ * normal operation.
  *
  * @property outage every call is answered with 503 and has no effect
- * @property slowMillis delay before each call is handled
- * @property stalled calls and streams make no progress and stay open
- * @property loseAnswers how many of the next answers are lost after the call has taken effect
- * @property cutConnections ends the open streams and calls without an answer, once
- * @property dieForMillis ends the process at once, once; it starts again after this time, or never if negative
+ * @property slowMillis delay in milliseconds before each call is handled
+ * @property stalled calls and streams make no progress but stay open
+ * @property loseAnswers number of upcoming answers to lose after their calls took effect
+ * @property cutConnections aborts the open streams and unanswered calls, once
+ * @property dieForMillis stops the process immediately, once; it restarts after this time in milliseconds, or never if
+ *   negative
  */
 @Serializable
 data class LinkFaults(
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/server/StandInServer.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/server/StandInServer.kt
@@ -1,6 +1,7 @@
 /*
- * HTTP servers over the models. A server binds a loopback address only, starts and stops in-process, and takes orders
- * for faults at `PUT /faults`. A dead stand-in takes no orders; it comes back by itself or by `start`.
+ * Base of the stand-ins' HTTP servers. A server binds only the loopback address, starts and stops in-process, and
+ * accepts faults to inject at `PUT /faults`. A stopped stand-in accepts none; it runs again after its configured
+ * downtime or a call of `start`.
  */
 package io.sequoiawheel.standin.server
 
@@ -38,17 +39,17 @@
 import kotlinx.serialization.json.Json
 
 /**
- * One stand-in.
+ * HTTP server of one stand-in.
  *
- * @param requestedPort the port to bind, or 0 for any free one; a restart binds the same port again
+ * @param requestedPort the port to bind, or 0 for any free port; a restart binds the same port again
  */
 abstract class StandInServer(
     private val requestedPort: Int,
 ) {
-    /** The state of the link, for faults ordered in-process. */
+    /** The simulated network link, for injecting faults in-process. */
     val link = Link()
 
-    /** Real time for the models. */
+    /** Monotonic clock for the models. */
     protected val clock = Clock { System.nanoTime() / NANOS_PER_MILLI }
 
     private val lifecycle = Mutex()
@@ -65,7 +66,7 @@
     var running: Boolean = false
         private set
 
-    /** How often the server has been started. */
+    /** Number of times the server was started. */
     @Volatile
     var starts: Int = 0
         private set
@@ -76,7 +77,7 @@
     /** The base URL of the server; valid after [start]. */
     val baseUrl: String get() = "http://$address"
 
-    /** Binds the port and serves until [stop]; does nothing if it already serves. */
+    /** Binds the port and serves until [stop]; has no effect if the server is already running. */
     suspend fun start() =
         lifecycle.withLock {
             if (engine != null) return@withLock
@@ -88,9 +89,9 @@
                         port = this@StandInServer.port
                     }
                 }) {
-                    intercept(ApplicationCallPipeline.Plugins) { if (!passLink(call)) finish() }
+                    intercept(ApplicationCallPipeline.Plugins) { if (!applyLinkFaults(call)) finish() }
                     routing {
-                        put("/faults") { orderFaults(call) }
+                        put("/faults") { handleFaultOrder(call) }
                         routes()
                     }
                 }
@@ -105,7 +106,7 @@
             running = true
         }
 
-    /** Ends all connections at once and frees the port; does nothing if it does not serve. */
+    /** Closes all connections immediately and unbinds the port; has no effect if the server is not running. */
     suspend fun stop() =
         lifecycle.withLock {
             val server = engine ?: return@withLock
@@ -116,14 +117,14 @@
             server.stopSuspend(gracePeriodMillis = 0, timeoutMillis = STOP_TIMEOUT_MILLIS)
         }
 
-    /** Stops for good, also if a restart is pending. */
+    /** Stops the server permanently and cancels a pending restart. */
     suspend fun close() {
         lifecycleScope.cancel()
         stop()
     }
 
-    /** Ends the process of the stand-in, and starts it again after [downMillis] unless that is negative. */
-    fun die(downMillis: Long) {
+    /** Simulates a crash of the process, followed by a restart after [downMillis] unless that is negative. */
+    fun crash(downMillis: Long) {
         lifecycleScope.launch {
             stop()
             if (downMillis >= 0) {
@@ -133,62 +134,63 @@
         }
     }
 
-    /** Declares the routes of the protocol. */
+    /** Declares the routes of the stand-in's protocol. */
     protected abstract fun Routing.routes()
 
-    /** Puts the model's part of an order in force. Returns null, or what is wrong with the order. */
-    protected open suspend fun order(faults: FaultOrder): String? = if (faults.hasModelPart) UNKNOWN_PART else null
+    /** Applies the faults of the model. Returns null, or an error message if they are not supported. */
+    protected open suspend fun applyFaults(faults: FaultOrder): String? =
+        if (faults.hasModelFaults) UNSUPPORTED_FAULTS else null
 
     /** Called before the port is bound. */
     protected open suspend fun onStart() = Unit
 
-    /** Called before the connections end. */
+    /** Called before the connections are closed. */
     protected open suspend fun onStop() = Unit
 
-    /** Sends a JSON answer, or loses it if a lost answer is due. */
-    protected suspend fun answer(
+    /** Sends a JSON response, or aborts the connection if the answer is to be lost. */
+    protected suspend fun respondJson(
         call: ApplicationCall,
         body: String,
         status: HttpStatusCode = HttpStatusCode.OK,
         headers: Map<String, String> = emptyMap(),
     ) {
-        link.awaitFlow()
-        if (link.losesAnswer()) return breakConnection()
+        link.awaitNotStalled()
+        if (link.consumeAnswerLoss()) return abortConnection()
         headers.forEach { (name, value) -> call.response.header(name, value) }
         call.respondText(body, ContentType.Application.Json, status)
     }
 
-    /** Ends the connection of the current call without an answer. */
-    protected suspend fun breakConnection() {
-        currentCoroutineContext().cancel(CancellationException("the connection is cut by order"))
+    /** Aborts the connection of the current call without a response. */
+    protected suspend fun abortConnection() {
+        currentCoroutineContext().cancel(CancellationException("connection aborted by an injected fault"))
         awaitCancellation()
     }
 
-    private suspend fun passLink(call: ApplicationCall): Boolean {
+    private suspend fun applyLinkFaults(call: ApplicationCall): Boolean {
         if (call.request.path() == "/faults") return true
-        link.awaitPassage()
+        link.awaitDelay()
         if (!link.faults.value.outage) return true
         call.respondText("{}", ContentType.Application.Json, HttpStatusCode.ServiceUnavailable)
         return false
     }
 
-    private suspend fun orderFaults(call: ApplicationCall) {
-        val problem =
+    private suspend fun handleFaultOrder(call: ApplicationCall) {
+        val errorMessage =
             try {
-                accept(json.decodeFromString(FaultOrder.serializer(), call.receiveText()))
+                applyOrder(json.decodeFromString(FaultOrder.serializer(), call.receiveText()))
             } catch (error: SerializationException) {
                 error.message
             }
-        val status = if (problem == null) HttpStatusCode.NoContent else HttpStatusCode.BadRequest
-        call.respondText(problem.orEmpty(), status = status)
+        val status = if (errorMessage == null) HttpStatusCode.NoContent else HttpStatusCode.BadRequest
+        call.respondText(errorMessage.orEmpty(), status = status)
     }
 
-    private suspend fun accept(faults: FaultOrder): String? {
-        order(faults)?.let { return it }
-        faults.link?.let { ordered ->
-            logger.info { "link faults of $address: $ordered" }
-            link.order(ordered)
-            ordered.dieForMillis?.let(::die)
+    private suspend fun applyOrder(faults: FaultOrder): String? {
+        applyFaults(faults)?.let { return it }
+        faults.link?.let { linkFaults ->
+            logger.info { "link faults of $address: $linkFaults" }
+            link.applyFaults(linkFaults)
+            linkFaults.dieForMillis?.let(::crash)
         }
         return null
     }
@@ -201,8 +203,8 @@
         @JvmStatic
         protected val json = Json { encodeDefaults = true }
 
-        /** The answer to an order for a part that this stand-in does not have. */
-        const val UNKNOWN_PART = "the order has a part that this stand-in does not have"
+        /** Error message for faults of a component that this stand-in does not have. */
+        const val UNSUPPORTED_FAULTS = "the order has a part that this stand-in does not have"
 
         private const val NANOS_PER_MILLI = 1_000_000L
         private const val STOP_TIMEOUT_MILLIS = 200L
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/store/CallBudget.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/store/CallBudget.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** Calls that the object store answers per second; calls beyond it are refused without taking effect. */
+/** Rate limits of the object store; calls that exceed them are refused without taking effect. */
 @Serializable
 data class CallBudget(
     val writesPerSecond: Int = 400,
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/store/CallCounts.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/store/CallCounts.kt
@@ -1,12 +1,12 @@
 package io.sequoiawheel.standin.store
 
-/** Calls that reached the object store, and [refused] ones that exceeded the budget or met an outage. */
+/** Number of calls by type; [refused] calls exceeded the budget or arrived during an outage. */
 data class CallCounts(
     val reads: Long = 0,
     val writes: Long = 0,
     val watches: Long = 0,
     val refused: Long = 0,
 ) {
-    /** All calls, refused ones included. */
+    /** Total number of calls, including refused ones. */
     val total: Long get() = reads + writes + watches + refused
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/store/CallMeter.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/store/CallMeter.kt
@@ -3,33 +3,33 @@
 import io.sequoiawheel.core.model.Clock
 import java.util.TreeMap
 
-/** Counts calls per second and enforces the budget as a token bucket of one second. Thread-safe. */
+/** Counts calls per second and enforces the budget with token buckets that hold one second of calls. Thread-safe. */
 internal class CallMeter(
     private val clock: Clock,
     private val budget: CallBudget,
 ) {
     private val bySecond = TreeMap<Long, CallCounts>()
-    private val writes = Bucket(budget.writesPerSecond)
-    private val reads = Bucket(budget.readsPerSecond)
+    private val writes = TokenBucket(budget.writesPerSecond)
+    private val reads = TokenBucket(budget.readsPerSecond)
 
     enum class Call { READ, WRITE, WATCH }
 
-    /** Counts [call]; returns whether the budget allows it. */
+    /** Counts [call]; returns false if it is refused because of the budget or an [outage]. */
     @Synchronized
     fun admit(
         call: Call,
         outage: Boolean,
     ): Boolean {
         val bucket = if (call == Call.WRITE) writes else reads
-        val admitted = !outage && bucket.take(clock.nowMillis())
+        val admitted = !outage && bucket.tryAcquire(clock.nowMillis())
         val second = clock.nowMillis() / MILLIS_PER_SECOND
-        val before = bySecond[second] ?: CallCounts()
+        val previous = bySecond[second] ?: CallCounts()
         bySecond[second] =
             when {
-                !admitted -> before.copy(refused = before.refused + 1)
-                call == Call.READ -> before.copy(reads = before.reads + 1)
-                call == Call.WRITE -> before.copy(writes = before.writes + 1)
-                else -> before.copy(watches = before.watches + 1)
+                !admitted -> previous.copy(refused = previous.refused + 1)
+                call == Call.READ -> previous.copy(reads = previous.reads + 1)
+                call == Call.WRITE -> previous.copy(writes = previous.writes + 1)
+                else -> previous.copy(watches = previous.watches + 1)
             }
         if (bySecond.size > MAXIMUM_SECONDS) bySecond.pollFirstEntry()
         return admitted
@@ -38,17 +38,17 @@
     @Synchronized
     fun snapshot(): Map<Long, CallCounts> = TreeMap(bySecond)
 
-    private class Bucket(
+    private class TokenBucket(
         private val perSecond: Int,
     ) {
         private var tokens = perSecond.toDouble()
-        private var filledAt = Long.MIN_VALUE
+        private var lastRefillMillis = Long.MIN_VALUE
 
-        fun take(now: Long): Boolean {
-            if (filledAt != Long.MIN_VALUE) {
-                tokens += (now - filledAt) * perSecond / MILLIS_PER_SECOND.toDouble()
+        fun tryAcquire(now: Long): Boolean {
+            if (lastRefillMillis != Long.MIN_VALUE) {
+                tokens += (now - lastRefillMillis) * perSecond / MILLIS_PER_SECOND.toDouble()
             }
-            filledAt = now
+            lastRefillMillis = now
             tokens = tokens.coerceAtMost(perSecond.toDouble())
             if (tokens < 1.0) return false
             tokens -= 1.0
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/store/ObjectStoreModel.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/store/ObjectStoreModel.kt
@@ -1,6 +1,7 @@
 /*
- * The platform's object API without I/O, in memory. It runs in real and in virtual time: every wait is a `delay`, and
- * the time of reading comes from the clock. Clients with faults of their own stand for zones that are cut off.
+ * In-memory implementation of the platform's object API without I/O. It runs in real and in virtual time, because every
+ * wait is a `delay` and the current time comes from the clock. Clients with their own faults simulate zones that are
+ * disconnected from the platform.
  */
 package io.sequoiawheel.standin.store
 
@@ -11,16 +12,16 @@
 import org.apache.commons.rng.UniformRandomProvider
 
 /**
- * An object store with versions, conditional updates, watches, a call budget and faults on order. Thread-safe.
+ * An object store with versions, conditional updates, watches, a call budget and fault injection. Thread-safe.
  *
- * Calls on the model itself see [faults] only; [client] adds the faults of one client.
+ * Calls on the model itself are subject to [faults] only; calls through a [client] also to the faults of that client.
  */
 class ObjectStoreModel private constructor(
     private val state: StoreState,
 ) : ObjectApi by StoreClient(state) {
     /**
-     * @param random decides latencies and faults
-     * @param scope runs writes that take effect after their caller has given up; without it such writes are lost
+     * @param random source of random latencies and faults
+     * @param scope scope of writes that take effect after their caller got an error; without it such writes are lost
      */
     constructor(
         clock: Clock,
@@ -29,21 +30,21 @@
         scope: CoroutineScope? = null,
     ) : this(StoreState(clock, random, budget, scope))
 
-    /** Faults that every client sees. */
+    /** Faults that affect every client. */
     var faults: StoreFaults
         get() = state.faults.value
         set(value) {
             state.faults.value = value
         }
 
-    /** Calls [observer] with key, version and value (null for a deletion) at the moment each write takes effect. */
+    /** Calls [observer] with the key, version and value (null for a deletion) when a write takes effect. */
     fun observeWrites(observer: (ObjectKey, Long, String?) -> Unit) {
         state.objects.onWrite = observer
     }
 
-    /** Returns a client with faults of its own on top of [faults]. */
+    /** Returns a client that has its own faults in addition to [faults]. */
     fun client(): StoreClient = StoreClient(state)
 
-    /** Returns the calls by second of the clock, for seconds in which there were any. */
+    /** Returns the call counts by second of the clock; seconds without calls are absent. */
     fun callsBySecond(): Map<Long, CallCounts> = state.meter.snapshot()
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/store/ObjectStoreServer.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/store/ObjectStoreServer.kt
@@ -19,11 +19,11 @@
 import kotlinx.serialization.KSerializer
 
 /**
- * The object API over HTTP.
+ * HTTP server of the object API.
  *
- * A call without an answer ends its connection; a call beyond the budget is answered with 429 and had no effect.
+ * The connection of an unanswered call is aborted. A call beyond the budget is answered with 429 and has no effect.
  *
- * @param model the objects; several servers over one model stand for the zones' separate ways to the platform
+ * @param model the stored objects; several servers with one model simulate separate paths of the zones to the platform
  */
 class ObjectStoreServer(
     private val model: ObjectStoreModel,
@@ -47,14 +47,14 @@
         get("/watch/{kind}") { watch(call) }
     }
 
-    /** Puts [faults] in force for every client of the store. */
-    fun order(faults: StoreFaults) {
+    /** Applies [faults] to every client of the store. */
+    fun applyFaults(faults: StoreFaults) {
         model.faults = faults
     }
 
-    override suspend fun order(faults: FaultOrder): String? {
-        if (faults.copy(store = null).hasModelPart) return UNKNOWN_PART
-        faults.store?.let(::order)
+    override suspend fun applyFaults(faults: FaultOrder): String? {
+        if (faults.copy(store = null).hasModelFaults) return UNSUPPORTED_FAULTS
+        faults.store?.let(::applyFaults)
         return null
     }
 
@@ -88,7 +88,7 @@
         body: (T) -> B,
     ) = outcome.fold(
         ifLeft = { respondFailure(call, it) },
-        ifRight = { answer(call, json.encodeToString(serializer, body(it))) },
+        ifRight = { respondJson(call, json.encodeToString(serializer, body(it))) },
     )
 
     private suspend fun respondFailure(
@@ -96,13 +96,13 @@
         failure: Failure,
     ) = when {
         failure.code != ResultCode.PLATFORM_UNAVAILABLE ->
-            answer(call, "{}", HttpStatusCode.fromValue(failure.code.httpStatus))
+            respondJson(call, "{}", HttpStatusCode.fromValue(failure.code.httpStatus))
 
-        failure.retryAfterMillis != null -> answer(call, "{}", HttpStatusCode.TooManyRequests)
-        else -> breakConnection()
+        failure.retryAfterMillis != null -> respondJson(call, "{}", HttpStatusCode.TooManyRequests)
+        else -> abortConnection()
     }
 
-    private suspend fun badRequest(call: ApplicationCall) = answer(call, "{}", HttpStatusCode.BadRequest)
+    private suspend fun badRequest(call: ApplicationCall) = respondJson(call, "{}", HttpStatusCode.BadRequest)
 
     private fun ApplicationCall.objectKind() = ObjectKind.entries.firstOrNull { it.path == parameters["kind"] }
 
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/store/StoreClient.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/store/StoreClient.kt
@@ -19,22 +19,25 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import java.util.concurrent.atomic.AtomicInteger
 
-/** One client's way to an [ObjectStoreModel], with faults of its own. Thread-safe. */
+/** A client of an [ObjectStoreModel] with its own faults. Thread-safe. */
 class StoreClient internal constructor(
     private val state: StoreState,
 ) : ObjectApi {
-    private val own = MutableStateFlow(StoreFaults(latencyMillis = 0))
-    private val answersToLose = AtomicInteger()
+    private val clientFaults = MutableStateFlow(StoreFaults(latencyMillis = 0))
+    private val pendingAnswerLosses = AtomicInteger()
 
-    /** Faults of this client; delays add to those of the store, probabilities combine. */
+    /**
+     * Faults of this client. They combine with the faults of the store: latencies add up, and the probabilities are
+     * treated as independent.
+     */
     var faults: StoreFaults
-        get() = own.value
+        get() = clientFaults.value
         set(value) {
-            own.value = value
+            clientFaults.value = value
         }
 
-    /** Loses the answers of the next [count] writes of this client after they took effect. */
-    fun loseNextAnswers(count: Int) = answersToLose.set(count)
+    /** Loses the answers of the next [count] writes of this client after the writes took effect. */
+    fun loseNextAnswers(count: Int) = pendingAnswerLosses.set(count)
 
     override suspend fun get(key: ObjectKey): Either<Failure, StoredObject> =
         read(CallMeter.Call.READ) { state.objects.get(key, staleMillis()) }
@@ -59,17 +62,17 @@
         waitMillis: Long,
     ): Either<Failure, ObjectListing> =
         read(CallMeter.Call.WATCH) {
-            val woken =
+            val hasChanged =
                 withTimeoutOrNull(waitMillis) {
-                    combine(state.objects.lastChange(kind), state.faults, own) { change, shared, mine ->
-                        change > revision || shared.outage || mine.outage
+                    combine(state.objects.lastChange(kind), state.faults, clientFaults) { change, shared, own ->
+                        change > revision || shared.outage || own.outage
                     }.first { it }
                 }
-            // A stale store shows the change that ended the wait only when it is old enough.
-            if (woken != null && staleMillis() > 0) delay(staleMillis())
+            // A stale read returns the change that ended the wait only once the change is old enough.
+            if (hasChanged != null && staleMillis() > 0) delay(staleMillis())
             when {
-                isOut() -> noAnswer().left()
-                woken == null -> ObjectListing(revision, persistentListOf()).right()
+                isOutage() -> noAnswerFailure().left()
+                hasChanged == null -> ObjectListing(revision, persistentListOf()).right()
                 else -> state.objects.list(kind, revision, staleMillis()).right()
             }
         }
@@ -80,7 +83,7 @@
     ): Either<Failure, T> {
         refusal(call)?.let { return it.left() }
         halfLatency()
-        if (draws(StoreFaults::lostCallProbability)) return lose()
+        if (occurs(StoreFaults::lostCallProbability)) return failWithoutAnswer()
         val answer = action()
         halfLatency()
         return answer
@@ -90,62 +93,62 @@
         refusal(CallMeter.Call.WRITE)?.let { return it.left() }
         halfLatency()
         return when {
-            draws(StoreFaults::lostCallProbability) -> lose()
-            draws(StoreFaults::lateWriteProbability) -> applyLate(action)
+            occurs(StoreFaults::lostCallProbability) -> failWithoutAnswer()
+            occurs(StoreFaults::lateWriteProbability) -> applyLate(action)
             else -> applyNow(action)
         }
     }
 
     private suspend fun <T> applyNow(action: () -> Either<Failure, T>): Either<Failure, T> {
         val answer = action()
-        val orderedLoss = answersToLose.getAndUpdate { maxOf(0, it - 1) } > 0
-        if (orderedLoss || draws(StoreFaults::lostAnswerProbability)) return lose()
+        val isInjectedLoss = pendingAnswerLosses.getAndUpdate { maxOf(0, it - 1) } > 0
+        if (isInjectedLoss || occurs(StoreFaults::lostAnswerProbability)) return failWithoutAnswer()
         halfLatency()
         return answer
     }
 
     private suspend fun <T> applyLate(action: () -> Either<Failure, T>): Either<Failure, T> {
-        val lateBy = maxOf(state.faults.value.lateWriteMillis, own.value.lateWriteMillis)
+        val delayMillis = maxOf(state.faults.value.lateWriteMillis, clientFaults.value.lateWriteMillis)
         state.scope?.launch {
-            delay(lateBy)
+            delay(delayMillis)
             action()
         }
-        return lose()
+        return failWithoutAnswer()
     }
 
     private suspend fun refusal(call: CallMeter.Call): Failure? {
-        val out = isOut()
-        if (state.meter.admit(call, out)) return null
-        if (!out) return Failure(ResultCode.PLATFORM_UNAVAILABLE, "call budget exceeded", BUDGET_RETRY_MILLIS)
+        val outage = isOutage()
+        if (state.meter.admit(call, outage)) return null
+        if (!outage) return Failure(ResultCode.PLATFORM_UNAVAILABLE, "call budget exceeded", BUDGET_RETRY_MILLIS)
         delay(failureMillis())
-        return noAnswer()
+        return noAnswerFailure()
     }
 
-    private suspend fun lose(): Either<Failure, Nothing> {
+    private suspend fun failWithoutAnswer(): Either<Failure, Nothing> {
         delay(failureMillis())
-        return noAnswer().left()
+        return noAnswerFailure().left()
     }
 
-    private fun noAnswer() = Failure(ResultCode.PLATFORM_UNAVAILABLE, "the object store did not answer")
+    private fun noAnswerFailure() = Failure(ResultCode.PLATFORM_UNAVAILABLE, "the object store did not answer")
 
-    private fun isOut() = state.faults.value.outage || own.value.outage
+    private fun isOutage() = state.faults.value.outage || clientFaults.value.outage
 
-    private fun staleMillis() = maxOf(state.faults.value.staleMillis, own.value.staleMillis)
+    private fun staleMillis() = maxOf(state.faults.value.staleMillis, clientFaults.value.staleMillis)
 
-    private fun failureMillis() = maxOf(state.faults.value.failureMillis, own.value.failureMillis)
+    private fun failureMillis() = maxOf(state.faults.value.failureMillis, clientFaults.value.failureMillis)
 
     private suspend fun halfLatency() {
-        val mean = (state.faults.value.latencyMillis + own.value.latencyMillis) / 2.0
-        delay(Math.round(mean * (MINIMUM_FACTOR + state.draw())))
+        val mean = (state.faults.value.latencyMillis + clientFaults.value.latencyMillis) / 2.0
+        delay(Math.round(mean * (MINIMUM_LATENCY_FACTOR + state.nextRandom())))
     }
 
-    private fun draws(probability: (StoreFaults) -> Double): Boolean {
-        val survives = (1 - probability(state.faults.value)) * (1 - probability(own.value))
-        return survives < 1.0 && state.draw() >= survives
+    private fun occurs(probability: (StoreFaults) -> Double): Boolean {
+        val noneProbability = (1 - probability(state.faults.value)) * (1 - probability(clientFaults.value))
+        return noneProbability < 1.0 && state.nextRandom() >= noneProbability
     }
 
     private companion object {
-        const val MINIMUM_FACTOR = 0.5
+        const val MINIMUM_LATENCY_FACTOR = 0.5
         const val BUDGET_RETRY_MILLIS = 1_000L
     }
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/store/StoreFaults.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/store/StoreFaults.kt
@@ -3,15 +3,15 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Faults that the object store shows until they are changed. All durations are in milliseconds.
+ * Faults of the object store, in effect until they are replaced. All durations are in milliseconds.
  *
- * @property outage whether every call fails without taking effect; waiting watches fail at once
- * @property failureMillis how long a caller waits before it learns that no answer comes
- * @property latencyMillis mean time of an answer; half of it passes before the call takes effect
- * @property lostAnswerProbability share of writes that take effect and whose answer is lost
- * @property lostCallProbability share of calls that neither take effect nor get an answer
- * @property lateWriteProbability share of writes whose caller gets no answer and that take effect late
- * @property lateWriteMillis how late such a write takes effect
+ * @property outage whether every call fails without taking effect; waiting watches fail immediately
+ * @property failureMillis time until a caller gets an error for a call without an answer
+ * @property latencyMillis mean latency of an answer; half of it elapses before the call takes effect
+ * @property lostAnswerProbability probability that a write takes effect but its answer is lost
+ * @property lostCallProbability probability that a call neither takes effect nor gets an answer
+ * @property lateWriteProbability probability that a write gets no answer and takes effect late
+ * @property lateWriteMillis delay until such a write takes effect
  * @property staleMillis age of the state that reads and watches return
  */
 @Serializable
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/store/StoreState.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/store/StoreState.kt
@@ -5,7 +5,7 @@
 import kotlinx.coroutines.flow.MutableStateFlow
 import org.apache.commons.rng.UniformRandomProvider
 
-/** What all clients of one object store share. */
+/** State shared by all clients of one object store. */
 internal class StoreState(
     clock: Clock,
     private val random: UniformRandomProvider,
@@ -16,7 +16,7 @@
     val meter = CallMeter(clock, budget)
     val faults = MutableStateFlow(StoreFaults())
 
-    /** Returns a random number from 0 to 1. */
+    /** Returns a random number in the range [0, 1). */
     @Synchronized
-    fun draw(): Double = random.nextDouble()
+    fun nextRandom(): Double = random.nextDouble()
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/store/VersionedObjects.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/store/VersionedObjects.kt
@@ -15,14 +15,14 @@
 import kotlinx.coroutines.flow.StateFlow
 
 /**
- * The objects themselves. A version is the store's revision at the write, so it never occurs twice, not even after a
- * deletion. Keeps the last few states of each object for stale reads. Thread-safe.
+ * The stored objects. The version of an object is the store's revision at its last write, so a version is never reused,
+ * not even after a deletion. Keeps the latest versions of each object to serve stale reads. Thread-safe.
  */
 internal class VersionedObjects(
     private val clock: Clock,
 ) {
     private class Entry(
-        val writtenAt: Long,
+        val writtenAtMillis: Long,
         val version: Long,
         val value: String?,
     )
@@ -41,7 +41,7 @@
         key: ObjectKey,
         staleMillis: Long,
     ): Either<Failure, StoredObject> =
-        visible(histories[key.kind]?.get(key.name), staleMillis)?.toObject(key)?.right()
+        findVisible(histories[key.kind]?.get(key.name), staleMillis)?.toObject(key)?.right()
             ?: Failure(ResultCode.OBJECT_NOT_FOUND, "no object ${key.kind.path}/${key.name}").left()
 
     @Synchronized
@@ -50,7 +50,7 @@
         value: String,
         expectedVersion: Long,
     ): Either<Failure, Long> {
-        if (value.length > MAXIMUM_VALUE) return Failure(ResultCode.BODY_TOO_LARGE).left()
+        if (value.length > MAXIMUM_VALUE_LENGTH) return Failure(ResultCode.BODY_TOO_LARGE).left()
         return write(key, value, expectedVersion)
     }
 
@@ -63,7 +63,7 @@
         return write(key, null, expectedVersion).map { }
     }
 
-    /** Returns the objects of [kind] that changed after [after] and were written at least [staleMillis] ago. */
+    /** Returns the objects of [kind] that changed after revision [after], in their state of [staleMillis] ago. */
     @Synchronized
     fun list(
         kind: ObjectKind,
@@ -72,10 +72,10 @@
     ): ObjectListing {
         val objects =
             histories[kind].orEmpty().mapNotNull { (name, history) ->
-                visible(history, staleMillis)?.takeIf { it.version > after }?.toObject(ObjectKey(kind, name))
+                findVisible(history, staleMillis)?.takeIf { it.version > after }?.toObject(ObjectKey(kind, name))
             }
-        val upTo = if (staleMillis > 0) maxOf(after, objects.maxOfOrNull { it.version } ?: 0L) else revision
-        return ObjectListing(upTo, objects.toImmutableList())
+        val listedRevision = if (staleMillis > 0) maxOf(after, objects.maxOfOrNull { it.version } ?: 0L) else revision
+        return ObjectListing(listedRevision, objects.toImmutableList())
     }
 
     private fun write(
@@ -104,15 +104,15 @@
             ?.takeIf { it.value != null }
             ?.version ?: 0L
 
-    private fun visible(
+    private fun findVisible(
         history: ArrayDeque<Entry>?,
         staleMillis: Long,
-    ): Entry? = history?.lastOrNull { staleMillis == 0L || it.writtenAt <= clock.nowMillis() - staleMillis }
+    ): Entry? = history?.lastOrNull { staleMillis == 0L || it.writtenAtMillis <= clock.nowMillis() - staleMillis }
 
     private fun Entry.toObject(key: ObjectKey): StoredObject? = value?.let { StoredObject(key, version, it) }
 
     private companion object {
-        const val MAXIMUM_VALUE = 1_000_000
+        const val MAXIMUM_VALUE_LENGTH = 1_000_000
         const val MAXIMUM_HISTORY = 16
     }
 }
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/weight/WeightStoreModel.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/weight/WeightStoreModel.kt
@@ -4,7 +4,7 @@
 import kotlin.concurrent.withLock
 import kotlin.math.ceil
 
-/** The rate-limited weight store without I/O. Times are milliseconds of one monotonic clock. It is thread-safe. */
+/** The rate-limited weight store without I/O. Times are milliseconds of one monotonic clock. Thread-safe. */
 class WeightStoreModel(
     private val settings: WeightStoreSettings,
 ) {
@@ -14,10 +14,10 @@
     private var available = settings.burst.toDouble()
     private var updatedAtMillis: Long? = null
 
-    /** Loads granted so far by name of the weight. */
+    /** Number of loads granted so far, by the name of the weights. */
     val loads: Map<String, Int> get() = lock.withLock { granted.toMap() }
 
-    /** Grants a load of [weight] and returns 0, or returns the milliseconds until one can be granted. */
+    /** Grants a load of [weight] and returns 0, or returns the milliseconds until a load can be granted. */
     fun request(
         weight: String,
         nowMillis: Long,
--- a/standin/src/main/kotlin/io/sequoiawheel/standin/weight/WeightStoreSettings.kt
+++ b/standin/src/main/kotlin/io/sequoiawheel/standin/weight/WeightStoreSettings.kt
@@ -3,9 +3,9 @@
 import kotlinx.serialization.Serializable
 
 /**
- * @property port port of the HTTP server, or 0
- * @property loadsPerMinute sustained rate of loads
- * @property burst loads that may start at once after a quiet period
+ * @property port port of the HTTP server, or 0 for any free port
+ * @property loadsPerMinute sustained number of loads per minute
+ * @property burst maximum number of loads that can start at once after an idle period
  */
 @Serializable
 data class WeightStoreSettings(
--- a/standin/src/test/kotlin/io/sequoiawheel/standin/deployment/StandInSetTest.kt
+++ b/standin/src/test/kotlin/io/sequoiawheel/standin/deployment/StandInSetTest.kt
@@ -10,19 +10,21 @@
 import org.junit.jupiter.api.Test
 
 class StandInSetTest {
-    /** Guards against presets that lose a setting on the way through their JSON form. */
+    /** Guards against presets that lose a setting when they are serialized to JSON and read back. */
     @Test
-    fun `presets survive their JSON form and have no faults`() =
+    fun `presets are unchanged by a JSON round trip and are valid`() =
         StandInPresets.names.forEach { name ->
             val preset = StandInPresets.named(name)!!
             val text = Json.encodeToString(StandInSettings.serializer(), preset)
             assertEquals(preset, Json.decodeFromString(StandInSettings.serializer(), text))
-            assertEquals(emptyList<String>(), preset.faults())
+            assertEquals(emptyList<String>(), preset.validationErrors())
         }
 
-    /** Guards against backend servers that never appear in the list, and against a restart under the old identity. */
+    /**
+     * Guards against backend servers that never appear in the list, and against a restart under the old instance id.
+     */
     @Test
-    fun `backends register, leave and come back with a new id`() =
+    fun `backend servers register, leave and register with a new id after a restart`() =
         runBlocking {
             val list = StandInPresets.manjadi.instanceList!!.copy(lagMillis = 0)
             val set = StandInSet(StandInPresets.manjadi.copy(instanceList = list, heartbeatMillis = 50).withFreePorts())
--- a/standin/src/test/kotlin/io/sequoiawheel/standin/engine/EngineModelTest.kt
+++ b/standin/src/test/kotlin/io/sequoiawheel/standin/engine/EngineModelTest.kt
@@ -33,9 +33,9 @@
         return events
     }
 
-    /** Guards against tokens that are lost or doubled by preemption and recomputation. */
+    /** Guards against tokens that are lost or duplicated by preemption and recomputation. */
     @Test
-    fun `a full memory preempts and every generation still gets each offset once in order`() {
+    fun `when memory is full requests are preempted and every generation still gets each offset once in order`() {
         val engine = engine()
         repeat(12) { engine.submit(letter(it), 0) }
         val events = engine.runUntilIdle()
@@ -47,9 +47,9 @@
         assertEquals(0, engine.memoryTokens)
     }
 
-    /** Guards against a cold engine that survives full load, which would make the ramp look unnecessary. */
+    /** Guards against a cold engine that survives full load, which would make the cold-start ramp look unnecessary. */
     @Test
-    fun `full load on a cold engine makes it fail and come back with another start id`() {
+    fun `full load crashes a cold engine and it restarts with a new start id`() {
         val engine = engine(EngineSettings(), startsCold = true)
         repeat(40) { engine.submit(letter(it), 0) }
         val events = engine.runUntilIdle()
@@ -59,9 +59,9 @@
         assertEquals(Submission.DOWN, engine.submit(letter(50), 1_000))
     }
 
-    /** Guards against a cold engine that fails even under a load that it can carry. */
+    /** Guards against a cold engine that crashes under a load within its safe batch size. */
     @Test
-    fun `a small load warms a cold engine`() {
+    fun `a small load warms up a cold engine`() {
         val engine = engine(EngineSettings(), startsCold = true)
         repeat(4) { engine.submit(letter(it), 0) }
         engine.runUntilIdle()
@@ -80,9 +80,9 @@
         assertEquals(1, engine.loadReport(450).running)
     }
 
-    /** Guards against cached prefixes that save no work, and against events that show before their delay. */
+    /** Guards against cached prefixes that save no work, and against events that are published before their delay. */
     @Test
-    fun `a cached prompt shortens the step and its event comes late`() {
+    fun `a cached prompt shortens the step and its event is delayed`() {
         val engine = engine(settings.copy(cache = EngineSettings.Cache(gapProbability = 0.0)))
         val blocks = (1L..12L).toList()
         engine.submit(letter(1, blocks = blocks), 0)
@@ -94,22 +94,22 @@
         assertEquals(blocks, engine.cacheEvents(0, 300).single().stored)
     }
 
-    /** Guards against an engine that obeys a holder whose lease has passed on. */
+    /** Guards against an engine that accepts orders from a former lease holder. */
     @Test
-    fun `an order with an old fencing number is rejected only by engines that check it`() {
+    fun `an order with a stale fencing number is rejected only by engines that check fencing numbers`() {
         val checking = engine()
-        assertTrue(checking.takeOrder("model/tags", 2, "loaded", 0))
-        assertFalse(checking.takeOrder("model/tags", 1, "unloaded", 0))
+        assertTrue(checking.acceptOrder("model/tags", 2, "loaded", 0))
+        assertFalse(checking.acceptOrder("model/tags", 1, "unloaded", 0))
         assertFalse(checking.orders(4_999).single().isInEffect)
         assertTrue(checking.orders(5_000).single().isInEffect)
         val ignoring = engine(settings.copy(orders = EngineSettings.Orders(checksFencing = false)))
-        ignoring.takeOrder("role", 2, "prefill", 0)
-        assertTrue(ignoring.takeOrder("role", 1, "decode", 0))
+        ignoring.acceptOrder("role", 2, "prefill", 0)
+        assertTrue(ignoring.acceptOrder("role", 1, "decode", 0))
     }
 
-    /** Guards against a resume that is answered after the window, or refused within it. */
+    /** Guards against a resume that succeeds after the resume window or fails within it. */
     @Test
-    fun `a finished generation is readable within its window only`() {
+    fun `a finished generation can be read only within its resume window`() {
         val engine = engine()
         engine.submit(ModelRequest(RequestId("short"), "letters", "summary", 20, 5), 0)
         engine.runUntilIdle()
--- a/standin/src/test/kotlin/io/sequoiawheel/standin/engine/EngineServerTest.kt
+++ b/standin/src/test/kotlin/io/sequoiawheel/standin/engine/EngineServerTest.kt
@@ -76,9 +76,9 @@
         }
     }
 
-    /** Guards against tokens that are lost or repeated when a caller comes back after a cut. */
+    /** Guards against lost or repeated tokens when a client resumes a stream after its connection was cut. */
     @Test
-    fun `a stream that was cut resumes from an offset and ends with the same tokens`() =
+    fun `a stream that was cut can be resumed from an offset and delivers the same tokens`() =
         withServer { server ->
             val first = startGeneration(server)
             awaitTokens(server, 20)
@@ -90,9 +90,9 @@
             assertEquals(409, startGeneration(server).await().statusCode())
         }
 
-    /** Guards against a stall that ends the stream or lets tokens through. */
+    /** Guards against a stall that ends the stream or still delivers tokens. */
     @Test
-    fun `a stalled link holds the stream back and heals without loss`() =
+    fun `a stalled link pauses the stream and no token is lost when the stall ends`() =
         withServer { server ->
             val stream = startGeneration(server)
             awaitTokens(server, 5)
@@ -104,9 +104,9 @@
             assertEquals(tokens, textsOf(stream.await().body()))
         }
 
-    /** Guards against an engine that refuses old fencing numbers although it should ignore them, and the reverse. */
+    /** Guards against an engine that checks fencing numbers when it should ignore them, or the reverse. */
     @Test
-    fun `an old fencing number is refused or ignored as the settings say`() =
+    fun `a stale fencing number is rejected or ignored according to the settings`() =
         listOf(true to 409, false to 200).forEach { (checks, status) ->
             withServer(EngineSettings(orders = EngineSettings.Orders(checksFencing = checks))) { server ->
                 val newer = """{"fencing":7,"desired":"loaded"}"""
@@ -118,9 +118,9 @@
             }
         }
 
-    /** Guards against a dead engine that keeps its generations or its start id. */
+    /** Guards against a crashed engine that keeps its generations or its start id after the restart. */
     @Test
-    fun `death loses the generations and a restart is cold with a new start id`() =
+    fun `a crash loses the generations and the restarted engine is cold with a new start id`() =
         withServer { server ->
             val stream = startGeneration(server)
             awaitTokens(server, 5)
--- a/standin/src/test/kotlin/io/sequoiawheel/standin/instances/InstanceListConcurrencyTest.kt
+++ b/standin/src/test/kotlin/io/sequoiawheel/standin/instances/InstanceListConcurrencyTest.kt
@@ -7,7 +7,7 @@
 import org.jetbrains.lincheck.datastructures.Operation
 import org.junit.jupiter.api.Test
 
-/** Guards against registrations and removals that are lost when they come together with a reader. */
+/** Guards against registrations and removals that are lost when they run concurrently with a read. */
 class InstanceListConcurrencyTest {
     private val model = InstanceListModel(InstanceListSettings(lagMillis = 0))
 
--- a/standin/src/test/kotlin/io/sequoiawheel/standin/instances/InstanceListModelTest.kt
+++ b/standin/src/test/kotlin/io/sequoiawheel/standin/instances/InstanceListModelTest.kt
@@ -13,9 +13,9 @@
 
     private fun statesAt(nowMillis: Long) = model.read(nowMillis).map { it.state }
 
-    /** Guards against a list without lag, in which tests of the membership would miss late departures. */
+    /** Guards against a list without lag, with which membership tests would not cover departures that are seen late. */
     @Test
-    fun `readers see registrations, leaving and removal after the lag`() {
+    fun `reads return registrations, leaving and removal after the lag`() {
         val leaving = instance.copy(state = Instance.State.LEAVING)
         model.register(instance, 0)
         assertEquals(emptyList<Instance.State>(), statesAt(999))
@@ -28,7 +28,7 @@
         assertEquals(emptyList<Instance.State>(), statesAt(5_000))
     }
 
-    /** Guards against dead instances that stay in the list for ever. */
+    /** Guards against dead instances that stay in the list forever. */
     @Test
     fun `an instance without heartbeats is removed`() {
         model.register(instance, 0)
--- a/standin/src/test/kotlin/io/sequoiawheel/standin/plain/PlainServiceConcurrencyTest.kt
+++ b/standin/src/test/kotlin/io/sequoiawheel/standin/plain/PlainServiceConcurrencyTest.kt
@@ -6,7 +6,7 @@
 import org.jetbrains.lincheck.datastructures.Operation
 import org.junit.jupiter.api.Test
 
-/** Guards against runs that are not recorded, and against more calls at once than the server has places. */
+/** Guards against runs that are not recorded, and against more concurrent calls than the server allows. */
 class PlainServiceConcurrencyTest {
     private val settings = PlainServiceSettings(mapOf("record" to PlainServiceSettings.Call()), coldConcurrent = 2)
     private val model =
--- a/standin/src/test/kotlin/io/sequoiawheel/standin/plain/PlainServiceServerTest.kt
+++ b/standin/src/test/kotlin/io/sequoiawheel/standin/plain/PlainServiceServerTest.kt
@@ -47,7 +47,7 @@
                 BodyHandlers.ofString(),
             ).await()
 
-    private suspend fun orderFaults(
+    private suspend fun injectFaults(
         server: PlainServiceServer,
         body: String,
     ): Int =
@@ -61,13 +61,13 @@
             ).await()
             .statusCode()
 
-    /** Guards against a stand-in whose faults cannot be told apart, which would hide errors of the daemons. */
+    /** Guards against injected faults that cannot be distinguished, which would hide errors of the daemons. */
     @Test
-    fun `each ordered fault shows once and only refused calls do not run`() =
+    fun `each injected fault affects one call and only refused calls do not run`() =
         withServer { server ->
             assertEquals(200, call(server, "a").statusCode())
             val body = """{"plain":{"answers":["refused","failed","crossed","mismatched","lost"]}}"""
-            assertEquals(204, orderFaults(server, body))
+            assertEquals(204, injectFaults(server, body))
             assertEquals("b", call(server, "b").headers().firstValue("X-Not-Run").get())
             assertEquals(500, call(server, "c").statusCode())
             assertEquals("c", call(server, "d").headers().firstValue("X-Request-Id").get())
@@ -77,14 +77,14 @@
             assertEquals(listOf("a", "c", "d", "e", "f", "g"), server.model.runs.map { it.requestId.value })
         }
 
-    /** Guards against a misspelt fault order that passes for one in force. */
+    /** Guards against a misspelt fault that is accepted without taking effect. */
     @Test
     fun `an unknown fault is rejected`() =
-        withServer { server -> assertEquals(400, orderFaults(server, """{"link":{"outtage":true}}""")) }
+        withServer { server -> assertEquals(400, injectFaults(server, """{"link":{"outtage":true}}""")) }
 
-    /** Guards against a dead process whose open connections stay up, and against a restart on another port. */
+    /** Guards against a stopped process whose connections stay open, and against a restart on another port. */
     @Test
-    fun `death cuts open calls and a restart is cold with a new identity`() {
+    fun `a stop aborts open calls and the restart has the same port and a new start id`() {
         val slow = PlainServiceSettings(mapOf("record" to PlainServiceSettings.Call(60_000)), coldMillis = 0)
         withServer(slow) { server ->
             val before = server.port
--- a/standin/src/test/kotlin/io/sequoiawheel/standin/store/ObjectStoreModelTest.kt
+++ b/standin/src/test/kotlin/io/sequoiawheel/standin/store/ObjectStoreModelTest.kt
@@ -20,9 +20,11 @@
     private fun TestScope.model(budget: CallBudget = CallBudget()) =
         ObjectStoreModel(Clock { currentTime }, RandomSource.XO_RO_SHI_RO_128_PP.create(1L), budget, backgroundScope)
 
-    /** Guards against a stand-in that lets two writers of one version both succeed, or that reuses a version. */
+    /**
+     * Guards against a store in which two writes with the same expected version both succeed, or that reuses a version.
+     */
     @Test
-    fun `only one of two conditional writes succeeds and versions never recur`() =
+    fun `only one of two conditional writes succeeds and versions are never reused`() =
         runTest {
             val model = model()
             val first = model.put(key, "1", 0).getOrNull()!!
@@ -31,9 +33,12 @@
             assertTrue(model.put(key, "3", 0).getOrNull()!! > first)
         }
 
-    /** Guards against a lost answer that also loses the write, which would never exercise the read-back. */
+    /**
+     * Guards against a lost answer that also loses the write, so that the read-back of a write would never be
+     * exercised.
+     */
     @Test
-    fun `a lost answer leaves the write in effect`() =
+    fun `a write takes effect although its answer is lost`() =
         runTest {
             val model = model()
             val client = model.client().apply { loseNextAnswers(1) }
@@ -41,9 +46,9 @@
             assertEquals("1", client.get(key).getOrNull()!!.value)
         }
 
-    /** Guards against watches that sleep through a change or through the start of an outage. */
+    /** Guards against watches that do not return on a change or at the start of an outage. */
     @Test
-    fun `a watch wakes on a change and on an outage`() =
+    fun `a watch returns on a change and fails on an outage`() =
         runTest {
             val model = model()
             val changed = async { model.watch(ObjectKind.CLAIM, 0, 60_000) }
@@ -58,9 +63,9 @@
             assertTrue(currentTime < 1_000)
         }
 
-    /** Guards against a store that answers any rate, and against stale reads that are fresh. */
+    /** Guards against a store without a rate limit, and against stale reads that return the current state. */
     @Test
-    fun `calls beyond the budget are refused and stale reads show an old state`() =
+    fun `calls beyond the budget are refused and stale reads return an old state`() =
         runTest {
             val model = model(CallBudget(writesPerSecond = 1, readsPerSecond = 100))
             val version = model.put(key, "1", 0).getOrNull()!!
