--- a/relay/src/main/kotlin/io/sequoiawheel/relay/control/StoreClient.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/control/StoreClient.kt
@@ -262,7 +262,7 @@
         const val CONFLICT = 409
         const val MAXIMUM_DETAIL_CHARACTERS = 200
 
-        /** The store responds within 4 ms and, when slow, within a fraction of a second. */
+        /** The store responds within 4 ms, and within 300 ms when it is slow. */
         const val CALL_TIMEOUT_MILLIS = 1_500L
 
         /** Time that a watch may take beyond its wait before the call is given up as unanswered. */
--- a/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
+++ b/relay/src/main/kotlin/io/sequoiawheel/relay/serving/ReplicaNotices.kt
@@ -26,7 +26,7 @@
         if (notice.isLeaving) markLeaving(replica, head)
         notice.invalidRetryAfter?.let { value ->
             log.stateChange(
-                "unreadable retry delay of a replica",
+                "replica sent an invalid pause in Retry-After",
                 mapOf(
                     "replica" to replica.toString(),
                     "value" to value,
--- a/relay/src/test/kotlin/io/sequoiawheel/relay/ReplicaNoticeTest.kt
+++ b/relay/src/test/kotlin/io/sequoiawheel/relay/ReplicaNoticeTest.kt
@@ -10,7 +10,7 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.AtomicInteger
 
-/** Tests replicas that announce in their response headers that they are leaving or request backoff. */
+/** Tests replicas that announce in their response headers that they are leaving or request a pause. */
 class ReplicaNoticeTest {
     private val fixture = RelayFixture()
     private val replicas = ConcurrentHashMap<String, ReplicaStandIn>()
@@ -157,7 +157,7 @@
     }
 
     @Test
-    fun `a replica that requested backoff under load receives no requests until the delay has passed`() {
+    fun `a replica that requested a pause under load receives no requests until the pause has ended`() {
         val requestedNanos = ConcurrentHashMap<String, Long>()
         for (id in listOf("r-1", "r-2")) {
             replica(id) { request, answer ->
@@ -171,19 +171,19 @@
         fixture.configure()
         fixture.start()
         assertTrue(call().startsWith("HTTP/1.1 200"))
-        val (backedOffId, sinceNanos) = requestedNanos.entries.single()
-        while (System.nanoTime() - sinceNanos < BACKOFF_MILLIS * NANOS_PER_MILLI) {
-            val before = receivedCount(backedOffId)
+        val (pausedId, sinceNanos) = requestedNanos.entries.single()
+        while (System.nanoTime() - sinceNanos < PAUSE_MILLIS * NANOS_PER_MILLI) {
+            val before = receivedCount(pausedId)
             assertTrue(call().startsWith("HTTP/1.1 200"))
-            val isOver = System.nanoTime() - sinceNanos >= BACKOFF_MILLIS * NANOS_PER_MILLI
-            if (!isOver) assertEquals(before, receivedCount(backedOffId))
+            val isOver = System.nanoTime() - sinceNanos >= PAUSE_MILLIS * NANOS_PER_MILLI
+            if (!isOver) assertEquals(before, receivedCount(pausedId))
         }
-        drainAllBut(backedOffId)
-        RelayFixture.awaitTrue("the replica receives calls again") { call().let { receivedCount(backedOffId) > 1 } }
+        drainAllBut(pausedId)
+        RelayFixture.awaitTrue("the replica receives calls again") { call().let { receivedCount(pausedId) > 1 } }
     }
 
     @Test
-    fun `callers are refused at once with a matching Retry-After while all replicas request backoff`() {
+    fun `callers are refused at once with a matching Retry-After while all replicas request a pause`() {
         for (id in listOf("r-1", "r-2")) replica(id) { request, answer -> answer.notRun(request, listOf("3")) }
         fixture.configure()
         fixture.start()
@@ -200,7 +200,7 @@
     }
 
     @Test
-    fun `the first caller that all replicas refuse receives a Retry-After that matches their backoff`() {
+    fun `the first caller that all replicas refuse receives a Retry-After that matches their pauses`() {
         for (id in listOf("r-1", "r-2")) replica(id) { request, answer -> answer.notRun(request, listOf("3")) }
         fixture.configure()
         fixture.start()
@@ -213,7 +213,7 @@
         const val EVENTS = 20
         const val EVENT_MILLIS = 20L
         const val CALLS = 20
-        const val BACKOFF_MILLIS = 750L
+        const val PAUSE_MILLIS = 750L
         const val NANOS_PER_MILLI = 1_000_000L
 
         /** The interval of 100 ms between peer messages, and the time to deliver one. */
