--- a/cli/src/main/kotlin/io/sequoiawheel/cli/ExperimentCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/ExperimentCommand.kt
@@ -61,7 +61,7 @@
     }
 
     private fun find(): Experiment =
-        Experiments.named(name)
+        Experiments.find(name)
             ?: throw CommandFailure(
                 ResultCode.USAGE,
                 "no experiment '$name'; there are ${Experiments.all.joinToString { it.name }}",
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/Experiment.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/Experiment.kt
@@ -1,17 +1,17 @@
 /*
- * Experiments run the library's decisions in virtual time against the models of the stand-ins. The same seed gives the
- * same report on any machine, except for figures whose name ends in `CpuMicros`, which are measured on the processor.
+ * Experiments run the library's decision logic in virtual time against the models of the stand-ins. The same seed gives
+ * the same report on any machine, except for figures whose name ends in `CpuMicros`, which are measured CPU times.
  */
 package io.sequoiawheel.experiment
 
-/** One named experiment. */
+/** An experiment that can be run by name. */
 interface Experiment {
-    /** The name on the command line, such as `memory-pressure`. */
+    /** The command-line name, such as `memory-pressure`. */
     val name: String
 
-    /** One sentence for the command line's help. */
+    /** A one-sentence description for the command-line help. */
     val summary: String
 
-    /** Runs the experiment to its end. It starts no threads that outlive the call and does no I/O. */
+    /** Runs the experiment to completion. Starts no threads that outlive the call and does no I/O. */
     fun run(options: ExperimentOptions): ExperimentReport
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/ExperimentOptions.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/ExperimentOptions.kt
@@ -1,10 +1,10 @@
 package io.sequoiawheel.experiment
 
 /**
- * What the user chooses for one run.
+ * User-specified options of one run.
  *
- * @property seed seed of every random number of the run
- * @property load offered work as a share of capacity; experiments without a notion of load ignore it
+ * @property seed seed of all random number generators of the run
+ * @property load offered load as a share of capacity; ignored by experiments without a load
  */
 data class ExperimentOptions(
     val seed: Long = 1,
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/ExperimentReport.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/ExperimentReport.kt
@@ -3,11 +3,11 @@
 import kotlinx.serialization.Serializable
 
 /**
- * The outcome of one experiment.
+ * The results of one experiment.
  *
  * @property policies figures by policy name; the system's own policy is named [OWN_POLICY]. Names of figures end in
  *   their unit, such as `stallP99Millis`
- * @property violations broken promises in plain English; empty if all held
+ * @property violations descriptions of broken promises; empty if all held
  */
 @Serializable
 data class ExperimentReport(
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/Experiments.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/Experiments.kt
@@ -8,9 +8,9 @@
 import io.sequoiawheel.experiment.grants.ZoneChangeExperiment
 import io.sequoiawheel.experiment.outage.PlatformOutageExperiment
 
-/** All experiments, in the order of the command line's help. */
+/** All experiments, in the order of the command-line help. */
 object Experiments {
-    /** Every experiment; each name occurs once. */
+    /** All experiments; names are unique. */
     val all: List<Experiment> =
         listOf(
             MemoryPressureExperiment,
@@ -26,5 +26,5 @@
         )
 
     /** Returns the experiment with this [name], or null. */
-    fun named(name: String): Experiment? = all.firstOrNull { it.name == name }
+    fun find(name: String): Experiment? = all.firstOrNull { it.name == name }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/FairnessExperiment.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/FairnessExperiment.kt
@@ -11,9 +11,8 @@
 import io.sequoiawheel.experiment.simulation.WorkspaceTraffic
 
 /**
- * Three large workspaces flood the service with more than its capacity while small ones stay below their share, once
- * with ten and once with 4,200 workspaces. The load of the options is that of the small workspaces and the flood
- * together, multiplied by [FLOOD_FACTOR].
+ * Three large workspaces overload the service while the small ones stay below their fair share, once with ten and once
+ * with 4,200 workspaces. The offered load of all workspaces together is the load option times [OVERLOAD_FACTOR].
  */
 object FairnessExperiment : Experiment {
     override val name = "fairness"
@@ -22,14 +21,14 @@
     private const val DURATION_MILLIS = 300_000.0
 
     /** At the default load of 0.9 the service is offered 1.8 times its capacity. */
-    private const val FLOOD_FACTOR = 2.0
+    private const val OVERLOAD_FACTOR = 2.0
 
-    /** Share of the small workspaces together; at the default load 0.36 of the capacity. */
+    /** Combined share of the small workspaces; 0.36 of the capacity at the default load. */
     private const val SMALL_SHARE = 0.2
     private const val LARGE_WORKSPACES = 3
     private const val FEW_WORKSPACES = 10
 
-    /** The workspaces of the design size. */
+    /** The number of workspaces at the design size. */
     private const val MANY_WORKSPACES = 4_200
 
     private val topology = Topology()
@@ -42,20 +41,20 @@
         (Policies.baselines() + SequoiawheelPolicy()).forEach { policy ->
             figures[policy.name] = figures(policy, workload(FEW_WORKSPACES), options)
         }
-        val many = SequoiawheelPolicy()
-        val manyFigures = figures(many, workload(MANY_WORKSPACES), options)
-        figures["${many.name}-$MANY_WORKSPACES-workspaces"] =
-            manyFigures + ("rememberedWorkspaces" to many.rememberedWorkspaces.toDouble())
+        val manyPolicy = SequoiawheelPolicy()
+        val manyFigures = figures(manyPolicy, workload(MANY_WORKSPACES), options)
+        figures["${manyPolicy.name}-$MANY_WORKSPACES-workspaces"] =
+            manyFigures + ("rememberedWorkspaces" to manyPolicy.trackedWorkspaces.toDouble())
         return ExperimentReport(
             experiment = name,
             seed = options.seed,
-            parameters = mapOf("load" to options.load * FLOOD_FACTOR, "capacityRequestsPerSecond" to capacity),
+            parameters = mapOf("load" to options.load * OVERLOAD_FACTOR, "capacityRequestsPerSecond" to capacity),
             policies = figures,
             violations = figures.filterKeys { it.startsWith(ExperimentReport.OWN_POLICY) }.flatMap(::violations),
         )
     }
 
-    /** Small workspaces ask for less than their share, so the flood must not cost them a larger part than itself. */
+    /** Small workspaces stay below their fair share, so their completed share must not be less than the large ones'. */
     private fun violations(run: Map.Entry<String, Map<String, Double>>): List<String> =
         buildList {
             val (policy, figures) = run
@@ -81,7 +80,7 @@
         workload: Workload,
         options: ExperimentOptions,
     ): Map<String, Double> {
-        val rate = capacity * options.load * FLOOD_FACTOR
+        val rate = capacity * options.load * OVERLOAD_FACTOR
         val arrivals = workload.arrivals(options.seed, rate, DURATION_MILLIS, topology.entries)
         val service = SimulatedService(topology, policy, workload.lengths(options.seed), options.seed)
         val measures = service.run(arrivals, DURATION_MILLIS)
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/MemoryPressureExperiment.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/MemoryPressureExperiment.kt
@@ -9,7 +9,7 @@
 import io.sequoiawheel.experiment.simulation.Topology
 import io.sequoiawheel.experiment.simulation.Workload
 
-/** Long letters and short summaries at a share of the capacity that the engines sustain without preemption. */
+/** Offers long letters and short summaries at a share of the capacity that engines sustain without preemption. */
 object MemoryPressureExperiment : Experiment {
     override val name = "memory-pressure"
     override val summary = "Stall time, preemptions and time between tokens when engine memory is scarce."
@@ -18,7 +18,7 @@
     private val topology = Topology()
     private val workload = Workload()
 
-    /** Requests per second that the service sustains; measured once, as it depends on no seed. */
+    /** Requests per second that the service sustains; measured once, because it does not depend on the seed. */
     private val capacity: Double by lazy {
         CapacityProbe(workload, topology.engine).requestsPerSecond() * topology.replicas
     }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/PrefixCacheExperiment.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/PrefixCacheExperiment.kt
@@ -15,8 +15,8 @@
 import io.sequoiawheel.experiment.simulation.WorkspaceTraffic
 
 /**
- * Sixty workspaces whose letters share long prompt prefixes, more than one engine's cache holds. Shows what the prefix
- * index gains in first-token time, and the hot spots that following the cache alone makes.
+ * Simulates sixty workspaces whose letters share long prompt prefixes, more than one engine's cache holds. Measures how
+ * much the prefix index shortens first-token times, and the hot spots that routing by cache alone causes.
  */
 object PrefixCacheExperiment : Experiment {
     override val name = "prefix-cache"
@@ -25,7 +25,7 @@
     private const val DURATION_MILLIS = 300_000.0
     private const val WORKSPACES = 60
 
-    /** 128 blocks a workspace; the cache of one engine holds the prefixes of 16. */
+    /** 128 blocks per workspace; the cache of one engine holds the prefixes of 16 workspaces. */
     private const val PREFIX_TOKENS = 2_048
     private const val LARGE_SHARE = 0.25
     private const val WITHOUT_INDEX = "sequoiawheel-without-index"
@@ -53,7 +53,7 @@
             experiment = name,
             seed = options.seed,
             parameters = mapOf("load" to options.load, "capacityRequestsPerSecond" to capacity),
-            policies = runs.mapValues { (_, run) -> run.measures.figures() + run.hotSpot() },
+            policies = runs.mapValues { (_, run) -> run.measures.figures() + run.hotSpotFigures() },
             violations = runs.getValue(ExperimentReport.OWN_POLICY).measures.violations(),
         )
     }
@@ -63,16 +63,16 @@
         options: ExperimentOptions,
     ): Run {
         val arrivals = workload.arrivals(options.seed, capacity * options.load, DURATION_MILLIS, topology.entries)
-        val counted = CountingPolicy(policy)
-        val service = SimulatedService(topology, counted, workload.lengths(options.seed), options.seed)
-        return Run(service.run(arrivals, DURATION_MILLIS), counted.ended.values)
+        val countingPolicy = CountingPolicy(policy)
+        val service = SimulatedService(topology, countingPolicy, workload.lengths(options.seed), options.seed)
+        return Run(service.run(arrivals, DURATION_MILLIS), countingPolicy.endedByReplica.values)
     }
 
     private class Run(
         val measures: Measures,
         private val endedByReplica: Collection<Int>,
     ) {
-        fun hotSpot(): Map<String, Double> {
+        fun hotSpotFigures(): Map<String, Double> {
             val mean = endedByReplica.sum().toDouble() / topology.replicas
             return mapOf("busiestReplicaShareOfMean" to endedByReplica.max() / mean)
         }
@@ -81,11 +81,11 @@
     private class CountingPolicy(
         private val policy: DispatchPolicy,
     ) : DispatchPolicy by policy {
-        val ended = HashMap<Int, Int>()
+        val endedByReplica = HashMap<Int, Int>()
 
-        override fun ended(request: SimulatedRequest) {
-            request.replica?.let { ended.merge(it.index, 1, Int::plus) }
-            policy.ended(request)
+        override fun onEnded(request: SimulatedRequest) {
+            request.replica?.let { endedByReplica.merge(it.index, 1, Int::plus) }
+            policy.onEnded(request)
         }
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/AtMostOnceExperiment.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/AtMostOnceExperiment.kt
@@ -8,7 +8,7 @@
 import io.sequoiawheel.experiment.Experiment
 import io.sequoiawheel.experiment.ExperimentOptions
 import io.sequoiawheel.experiment.ExperimentReport
-import io.sequoiawheel.experiment.virtual.Figures
+import io.sequoiawheel.experiment.virtual.Statistics
 import io.sequoiawheel.experiment.virtual.VirtualTime
 import io.sequoiawheel.experiment.virtual.VirtualTime.clock
 import kotlinx.coroutines.async
@@ -17,8 +17,9 @@
 import kotlinx.coroutines.launch
 
 /**
- * Non-idempotent calls through the serving pipeline of several entry instances, with the same key at two instances and
- * zones, lost and late answers, outages, dying claimants and runs that outlive their deadline; faults come in twos.
+ * Sends non-idempotent calls through the serving pipeline of several entry instances. The same key is sent to two
+ * instances and zones, answers are lost or late, the store has outages, claimants crash, and runs exceed their
+ * deadline. Faults are injected in overlapping pairs.
  */
 class AtMostOnceExperiment : Experiment {
     override val name = "at-most-once"
@@ -27,15 +28,15 @@
     override fun run(options: ExperimentOptions): ExperimentReport {
         val plans = CallPlan.generate(options.seed, RUN_MILLIS)
         val faults = FaultPlan.generate(options.seed, RUN_MILLIS)
-        val results = AtMostOnceWorld.Policy.entries.associateWith { simulate(options.seed, plans, faults, it) }
-        val own = results.getValue(AtMostOnceWorld.Policy.OWN)
+        val results = AtMostOnceSimulation.Policy.entries.associateWith { simulate(options.seed, plans, faults, it) }
+        val own = results.getValue(AtMostOnceSimulation.Policy.OWN)
         return ExperimentReport(
             experiment = name,
             seed = options.seed,
             parameters =
                 mapOf(
                     "calls" to plans.size.toDouble(),
-                    "callsSentTwice" to plans.count { it.twinSlot != null }.toDouble(),
+                    "callsSentTwice" to plans.count { it.duplicateSlot != null }.toDouble(),
                     "faults" to faults.size.toDouble(),
                 ),
             policies = results.entries.associate { (policy, result) -> policy.label to result.figures },
@@ -52,14 +53,14 @@
         seed: Long,
         plans: List<CallPlan>,
         faults: List<FaultPlan>,
-        policy: AtMostOnceWorld.Policy,
+        policy: AtMostOnceSimulation.Policy,
     ): Result =
         VirtualTime.run {
             val clock = clock()
-            val world = AtMostOnceWorld(seed, plans, policy, clock, backgroundScope)
-            faults.forEach { backgroundScope.launch { world.strike(it) } }
-            val caller = Caller(world, clock)
-            val ends =
+            val simulation = AtMostOnceSimulation(seed, plans, policy, clock, backgroundScope)
+            faults.forEach { backgroundScope.launch { simulation.inject(it) } }
+            val caller = Caller(simulation, clock)
+            val callResults =
                 plans
                     .flatMap { plan ->
                         listOfNotNull(
@@ -67,45 +68,56 @@
                                 delay(plan.atMillis)
                                 plan.key to caller.send(plan, plan.slot, "first")
                             },
-                            plan.twinSlot?.let { slot ->
+                            plan.duplicateSlot?.let { slot ->
                                 async {
-                                    delay(plan.atMillis + plan.twinAfterMillis)
+                                    delay(plan.atMillis + plan.duplicateDelayMillis)
                                     plan.key to caller.send(plan, slot, "twin")
                                 }
                             },
                         )
                     }.awaitAll()
             delay(SETTLE_MILLIS)
-            summarize(world, ends)
+            summarize(simulation, callResults)
         }
 
     private fun summarize(
-        world: AtMostOnceWorld,
-        ends: List<Pair<String, Caller.End>>,
+        simulation: AtMostOnceSimulation,
+        callResults: List<Pair<String, Caller.CallResult>>,
     ): Result {
-        val history = world.history.snapshot()
+        val history = simulation.history.snapshot()
         val check = HistoryChecker().check(history)
         val runs = history.filterIsInstance<HistoryEvent.RunStarted>().groupBy { it.request.value.substringBefore('-') }
-        val calls = ends.groupBy({ it.first }, { it.second })
-        val answered = ends.filter { it.second.code == ResultCode.OK || it.second.code == ResultCode.OK_RECORDED }
-        val counts = world.store.callsBySecond().values
+        val resultsByKey = callResults.groupBy({ it.first }, { it.second })
+        val answered =
+            callResults.filter {
+                it.second.code == ResultCode.OK || it.second.code == ResultCode.OK_RECORDED
+            }
+        val storeCalls = simulation.store.callsBySecond().values
         val figures =
             mapOf(
                 "callsRunTwiceOrMore" to runs.count { it.value.size > 1 }.toDouble(),
-                "callsNeverRun" to calls.keys.count { it !in runs }.toDouble(),
-                "sendersAnsweredShare" to answered.size.toDouble() / ends.size,
-                "sendersOutcomeUnknown" to ends.count { it.second.code == ResultCode.OUTCOME_UNKNOWN }.toDouble(),
-                "sendersInProgressAtEnd" to ends.count { it.second.code == ResultCode.IN_PROGRESS }.toDouble(),
-                "notRunAnswers" to ends.sumOf { it.second.notRunAnswers }.toDouble(),
-                "answerP50Millis" to Figures.percentile(answered.map { it.second.elapsedMillis }, 50.0),
-                "answerP99Millis" to Figures.percentile(answered.map { it.second.elapsedMillis }, 99.0),
-                "storeWritesPerCall" to counts.sumOf { it.writes }.toDouble() / calls.size,
-                "storeReadsPerCall" to counts.sumOf { it.reads }.toDouble() / calls.size,
+                "callsNeverRun" to resultsByKey.keys.count { it !in runs }.toDouble(),
+                "sendersAnsweredShare" to answered.size.toDouble() / callResults.size,
+                "sendersOutcomeUnknown" to
+                    callResults
+                        .count {
+                            it.second.code == ResultCode.OUTCOME_UNKNOWN
+                        }.toDouble(),
+                "sendersInProgressAtEnd" to
+                    callResults
+                        .count {
+                            it.second.code == ResultCode.IN_PROGRESS
+                        }.toDouble(),
+                "notRunAnswers" to callResults.sumOf { it.second.notRunAnswers }.toDouble(),
+                "answerP50Millis" to Statistics.percentile(answered.map { it.second.elapsedMillis }, 50.0),
+                "answerP99Millis" to Statistics.percentile(answered.map { it.second.elapsedMillis }, 99.0),
+                "storeWritesPerCall" to storeCalls.sumOf { it.writes }.toDouble() / resultsByKey.size,
+                "storeReadsPerCall" to storeCalls.sumOf { it.reads }.toDouble() / resultsByKey.size,
             )
-        return Result(check, figures + promiseFigures(check))
+        return Result(check, figures + guaranteeFigures(check))
     }
 
-    private fun promiseFigures(check: CheckResult): Map<String, Double> =
+    private fun guaranteeFigures(check: CheckResult): Map<String, Double> =
         listOf(Promise.P4, Promise.P5, Promise.P6)
             .flatMap { promise ->
                 val broken = check.violations.count { it.promise == promise }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/AtMostOnceWorld.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/AtMostOnceSimulation.kt
@@ -29,15 +29,15 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 
-/** Entry instances in three zones, one plain service, the object store, and the faults of one run. */
-internal class AtMostOnceWorld(
+/** Simulates entry instances in three zones, a plain service and the object store, and injects the faults of a run. */
+internal class AtMostOnceSimulation(
     seed: Long,
     plans: List<CallPlan>,
     private val policy: Policy,
     private val clock: Clock,
     private val scope: CoroutineScope,
 ) {
-    /** Which claims the entry instances use. */
+    /** The [Claims] implementation that the entry instances use. */
     enum class Policy(
         val label: String,
     ) {
@@ -49,12 +49,12 @@
     val history = HistoryRecorder()
     val store = ObjectStoreModel(clock, VirtualTime.random(seed, "store"), scope = scope)
     private val random = VirtualTime.random(seed, "retries")
-    private val desk = DeskGateway(plans, clock, history, scope)
-    private val slots = arrayOfNulls<EntryModel>(CallPlan.SLOTS)
+    private val gateway = SimulatedGateway(plans, clock, history, scope)
+    private val entriesBySlot = arrayOfNulls<EntryModel>(CallPlan.SLOTS)
     private val clients = HashMap<EntryModel, StoreClient>()
-    private val live = HashSet<InstanceId>()
+    private val liveInstances = HashSet<InstanceId>()
     private var incarnations = 0
-    private var claimIds = 0
+    private var claimCount = 0
 
     private val replicas =
         List(ZONES) { zone ->
@@ -68,7 +68,7 @@
             )
         }
 
-    private val active = mutableListOf<FaultPlan>()
+    private val activeFaults = mutableListOf<FaultPlan>()
 
     private val retries =
         object : Retries {
@@ -80,11 +80,11 @@
         }
 
     init {
-        slots.indices.forEach { start(it) }
+        entriesBySlot.indices.forEach { startEntry(it) }
     }
 
     /** Returns the entry instance in [slot], or null while it is being replaced. */
-    fun entry(slot: Int): EntryModel? = slots[slot]
+    fun entry(slot: Int): EntryModel? = entriesBySlot[slot]
 
     /** Returns the demand for the call of [plan] as request [request]. */
     fun demand(
@@ -97,71 +97,86 @@
         plan.key,
     )
 
-    /** Carries [fault] out from its beginning to its end. */
-    suspend fun strike(fault: FaultPlan) {
+    /** Applies [fault] from its start until its end. */
+    suspend fun inject(fault: FaultPlan) {
         delay(fault.fromMillis - clock.nowMillis())
         if (fault.kind == FaultPlan.Kind.ENTRY_DEATH) {
-            replace(fault.slot)
+            replaceEntry(fault.slot)
             return
         }
-        active += fault
+        activeFaults += fault
         applyFaults()
         delay(fault.untilMillis - clock.nowMillis())
-        active -= fault
+        activeFaults -= fault
         applyFaults()
     }
 
     private fun applyFaults() {
-        val kinds = active.map { it.kind }.toSet()
+        val kinds = activeFaults.map { it.kind }.toSet()
         store.faults =
             StoreFaults(
                 outage = FaultPlan.Kind.STORE_OUTAGE in kinds,
-                latencyMillis = if (FaultPlan.Kind.STORE_SLOW in kinds) SLOW_MILLIS else NORMAL_MILLIS,
-                lostAnswerProbability = if (FaultPlan.Kind.LOST_ANSWERS in kinds) LOSS else 0.0,
-                lateWriteProbability = if (FaultPlan.Kind.LATE_WRITES in kinds) LOSS else 0.0,
+                latencyMillis = if (FaultPlan.Kind.STORE_SLOW in kinds) SLOW_LATENCY_MILLIS else NORMAL_LATENCY_MILLIS,
+                lostAnswerProbability = if (FaultPlan.Kind.LOST_ANSWERS in kinds) FAULT_PROBABILITY else 0.0,
+                lateWriteProbability = if (FaultPlan.Kind.LATE_WRITES in kinds) FAULT_PROBABILITY else 0.0,
                 staleMillis = if (FaultPlan.Kind.STALE_READS in kinds) STALE_MILLIS else 0,
             )
-        val cutZones = active.filter { it.kind == FaultPlan.Kind.ZONE_CUT }.map { it.slot % ZONES }
+        val isolatedZones = activeFaults.filter { it.kind == FaultPlan.Kind.ZONE_CUT }.map { it.slot % ZONES }
         clients.forEach { (entry, client) ->
-            client.faults = StoreFaults(outage = entry.slot % ZONES in cutZones, latencyMillis = 0)
+            client.faults = StoreFaults(outage = entry.slot % ZONES in isolatedZones, latencyMillis = 0)
         }
     }
 
-    private suspend fun replace(slot: Int) {
-        val dead = slots[slot] ?: return
-        slots[slot] = null
-        dead.die()
+    private suspend fun replaceEntry(slot: Int) {
+        val dead = entriesBySlot[slot] ?: return
+        entriesBySlot[slot] = null
+        dead.crash()
         clients -= dead
         delay(LIST_LAG_MILLIS)
-        live -= dead.id
+        liveInstances -= dead.id
         delay(REPLACEMENT_MILLIS)
-        start(slot)
+        startEntry(slot)
     }
 
-    private fun start(slot: Int) {
+    private fun startEntry(slot: Int) {
         val entry = EntryModel(InstanceId("e$slot.${incarnations++}"), slot, scope)
         clients[entry] = store.client()
-        live += entry.id
-        entry.runner = CallRunner(desk.of(entry), placement(entry), retries, claims(entry), clock, entry.scope) { it }
-        slots[slot] = entry
+        liveInstances += entry.id
+        entry.runner =
+            CallRunner(
+                gateway.forEntry(entry),
+                createPlacement(entry),
+                retries,
+                createClaims(entry),
+                clock,
+                entry.scope,
+            ) { it }
+        entriesBySlot[slot] = entry
         applyFaults()
     }
 
-    private fun claims(entry: EntryModel): Claims {
-        val api = entry.reach(clients.getValue(entry))
+    private fun createClaims(entry: EntryModel): Claims {
+        val api = entry.guard(clients.getValue(entry))
         return when (policy) {
             Policy.NO_CLAIMS -> NoClaims()
-            Policy.NO_READ_BACK -> ClaimsWithoutReadBack(api, entry.id) { it in live }
+            Policy.NO_READ_BACK -> ClaimsWithoutReadBack(api, entry.id) { it in liveInstances }
             Policy.OWN -> {
                 val registry =
-                    ClaimRegistry(api, entry.id, clock, { it in live }, { "${entry.id}-${claimIds++}" }, claimPolicy)
+                    ClaimRegistry(
+                        api,
+                        entry.id,
+                        clock,
+                        { it in liveInstances },
+                        { "${entry.id}-${claimCount++}" },
+                        claimPolicy,
+                    )
                 entry.scope.launch { registry.retryPendingWrites() }
-                OwnClaims(registry)
+                RegistryClaims(registry)
             }
         }
     }
 
-    private fun placement(entry: EntryModel) =
+    private fun createPlacement(entry: EntryModel) =
         object : Placement {
             override suspend fun place(
                 demand: Demand,
@@ -169,11 +184,11 @@
             ): Either<Failure, PlacedRequest> {
                 val local = replicas[entry.slot % ZONES]
                 val replica = local.takeIf { it.id !in avoided } ?: replicas.firstOrNull { it.id !in avoided } ?: local
-                return Room(replica).right()
+                return AssignedReplica(replica).right()
             }
         }
 
-    private class Room(
+    private class AssignedReplica(
         override val replica: Instance,
     ) : PlacedRequest {
         override val queueMillis = 0L
@@ -188,13 +203,13 @@
 
     private companion object {
         const val ZONES = 3
-        const val NORMAL_MILLIS = 4L
-        const val SLOW_MILLIS = 800L
+        const val NORMAL_LATENCY_MILLIS = 4L
+        const val SLOW_LATENCY_MILLIS = 800L
         const val STALE_MILLIS = 2_000L
-        const val LOSS = 0.4
+        const val FAULT_PROBABILITY = 0.4
         const val LIST_LAG_MILLIS = 3_000L
 
-        // Six instances may settle their backlog faster than 340.
+        // Six instances may work off their backlogs of pending writes faster than a fleet of 340.
         val claimPolicy = ClaimPolicy(backlogDelayMillis = 200)
         const val REPLACEMENT_MILLIS = 5_000L
 
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/Caller.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/Caller.kt
@@ -7,38 +7,38 @@
 import io.sequoiawheel.core.model.WorkState
 import kotlinx.coroutines.delay
 
-/** Sends one call until it has a final answer or has tried often enough, each time to the next entry instance. */
+/** Retries a call at the next entry instance until it gets a final response or reaches the attempt limit. */
 internal class Caller(
-    private val world: AtMostOnceWorld,
+    private val simulation: AtMostOnceSimulation,
     private val clock: Clock,
 ) {
-    /** How a sender's last attempt ended. */
-    data class End(
+    /** The result of a caller's last attempt. */
+    data class CallResult(
         val code: ResultCode?,
         val elapsedMillis: Long,
         val notRunAnswers: Int,
     )
 
-    /** Sends the call of [plan], beginning at [firstSlot]; [name] makes the request ids unique. */
+    /** Sends the call of [plan], starting at [firstSlot]; [name] makes the request ids unique. */
     suspend fun send(
         plan: CallPlan,
         firstSlot: Int,
         name: String,
-    ): End {
-        val began = clock.nowMillis()
-        var notRun = 0
-        var unknown = 0
+    ): CallResult {
+        val startMillis = clock.nowMillis()
+        var notRunCount = 0
+        var unknownCount = 0
         var code: ResultCode? = null
         repeat(MAXIMUM_ATTEMPTS) { attempt ->
             code = attempt(plan, (firstSlot + attempt) % CallPlan.SLOTS, RequestId("${plan.key}-$name-$attempt"))
-            if (code?.work == WorkState.NOT_RUN) notRun++
-            if (code == ResultCode.OUTCOME_UNKNOWN) unknown++
-            if (code == ResultCode.OK || code == ResultCode.OK_RECORDED || unknown == MAXIMUM_UNKNOWN) {
-                return End(code, clock.nowMillis() - began, notRun)
+            if (code?.work == WorkState.NOT_RUN) notRunCount++
+            if (code == ResultCode.OUTCOME_UNKNOWN) unknownCount++
+            if (code == ResultCode.OK || code == ResultCode.OK_RECORDED || unknownCount == MAXIMUM_UNKNOWN_OUTCOMES) {
+                return CallResult(code, clock.nowMillis() - startMillis, notRunCount)
             }
-            delay(if (code == null) RECONNECT_MILLIS else RETRY_MILLIS)
+            delay(if (code == null) RECONNECT_DELAY_MILLIS else RETRY_DELAY_MILLIS)
         }
-        return End(code, clock.nowMillis() - began, notRun)
+        return CallResult(code, clock.nowMillis() - startMillis, notRunCount)
     }
 
     private suspend fun attempt(
@@ -46,12 +46,12 @@
         slot: Int,
         request: RequestId,
     ): ResultCode? {
-        world.history.record(HistoryEvent.CallStarted(clock.nowMillis(), request, plan.key))
-        val entry = world.entry(slot)
-        if (entry != null) world.history.record(HistoryEvent.CallAccepted(clock.nowMillis(), request, entry.id))
-        val outcome = entry?.run(world.demand(request, plan))
+        simulation.history.record(HistoryEvent.CallStarted(clock.nowMillis(), request, plan.key))
+        val entry = simulation.entry(slot)
+        if (entry != null) simulation.history.record(HistoryEvent.CallAccepted(clock.nowMillis(), request, entry.id))
+        val outcome = entry?.run(simulation.demand(request, plan))
         val now = clock.nowMillis()
-        world.history.record(
+        simulation.history.record(
             if (outcome == null) {
                 HistoryEvent.CallLost(now, request)
             } else {
@@ -64,9 +64,9 @@
     private companion object {
         const val MAXIMUM_ATTEMPTS = 20
 
-        // An outcome that is unknown can still be recorded by its claimant a little later.
-        const val MAXIMUM_UNKNOWN = 3
-        const val RECONNECT_MILLIS = 500L
-        const val RETRY_MILLIS = 2_000L
+        // Retry after OUTCOME_UNKNOWN, because the claimant may still record the outcome.
+        const val MAXIMUM_UNKNOWN_OUTCOMES = 3
+        const val RECONNECT_DELAY_MILLIS = 500L
+        const val RETRY_DELAY_MILLIS = 2_000L
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/ClaimPolicies.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/ClaimPolicies.kt
@@ -1,5 +1,5 @@
 /*
- * What at-most-once is compared with. The baselines run the same pipeline and differ in their claims only.
+ * The claim implementations that the at-most-once experiment compares. All of them run in the same serving pipeline.
  */
 package io.sequoiawheel.experiment.claims
 
@@ -17,8 +17,8 @@
 import io.sequoiawheel.core.platform.ObjectApi
 import io.sequoiawheel.core.serving.Claims
 
-/** The system's own claims. */
-internal class OwnClaims(
+/** Adapts the system's [ClaimRegistry] to [Claims]. */
+internal class RegistryClaims(
     private val registry: ClaimRegistry,
 ) : Claims {
     private class Granted(
@@ -60,7 +60,7 @@
     private fun ClaimAnswer.toRecorded() = Claims.RecordedAnswer(status, body.orEmpty())
 }
 
-/** Every call may be dispatched, as if it were idempotent. */
+/** Grants every claim, so that non-idempotent calls are treated as idempotent. */
 internal class NoClaims : Claims {
     private object Granted : Claims.Decision.Granted
 
@@ -84,7 +84,7 @@
         Failure(ResultCode.OUTCOME_NOT_FOUND).left()
 }
 
-/** Claims whose lost answer counts as a failed write: nothing is read back and nothing is released later. */
+/** Treats a lost response to a claim write as a failed write: the claim is neither read back nor released later. */
 internal class ClaimsWithoutReadBack(
     private val api: ObjectApi,
     private val instance: InstanceId,
@@ -103,16 +103,16 @@
     ): Either<Failure, Claims.Decision> {
         val key = ClaimKey(identity.service, identity.workspace, identity.call, identity.key)
         return api.put(key.objectKey, instance.value, 0).fold(
-            { if (it.code == ResultCode.DOCUMENT_CONFLICT) existing(key) else unavailable() },
+            { if (it.code == ResultCode.DOCUMENT_CONFLICT) decideExisting(key) else unavailable() },
             { Granted(key, it).right() },
         )
     }
 
-    private suspend fun existing(key: ClaimKey): Either<Failure, Claims.Decision> =
+    private suspend fun decideExisting(key: ClaimKey): Either<Failure, Claims.Decision> =
         api.get(key.objectKey).fold(
             { unavailable() },
             { found ->
-                val answer = found.value.substringAfter(ANSWERED, "")
+                val answer = found.value.substringAfter(ANSWER_SEPARATOR, "")
                 when {
                     answer.isNotEmpty() -> Claims.Decision.Recorded(Claims.RecordedAnswer(200, answer)).right()
                     isLive(InstanceId(found.value)) -> Failure(ResultCode.IN_PROGRESS, retryAfterMillis = 2_000).left()
@@ -126,7 +126,7 @@
         answer: Claims.RecordedAnswer,
     ) {
         granted as Granted
-        api.put(granted.key.objectKey, instance.value + ANSWERED + answer.body, granted.version)
+        api.put(granted.key.objectKey, instance.value + ANSWER_SEPARATOR + answer.body, granted.version)
     }
 
     override suspend fun recordOutcomeUnknown(granted: Claims.Decision.Granted) = Unit
@@ -142,6 +142,6 @@
     private fun unavailable() = Failure(ResultCode.CLAIM_STORE_UNAVAILABLE, retryAfterMillis = 2_000).left()
 
     private companion object {
-        const val ANSWERED = " answered "
+        const val ANSWER_SEPARATOR = " answered "
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/EntryModel.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/EntryModel.kt
@@ -21,48 +21,48 @@
 import kotlinx.coroutines.plus
 import kotlinx.coroutines.selects.select
 
-/** The process of one entry instance, which can die at any suspension point. */
+/** Simulates the process of one entry instance, which can crash at any suspension point. */
 internal class EntryModel(
     val id: InstanceId,
     val slot: Int,
     parent: CoroutineScope,
 ) {
-    /** Thrown wherever a dead process would have gone on. */
+    /** Thrown at the suspension points of a process that has crashed. */
     class ProcessDied : Exception("the process died")
 
-    private val death = CompletableDeferred<Unit>()
+    private val crashSignal = CompletableDeferred<Unit>()
 
-    /** Runs this process. */
+    /** The scope of the coroutines of this process. */
     val scope: CoroutineScope =
         parent + SupervisorJob(parent.coroutineContext.job) +
             CoroutineExceptionHandler { _, error -> if (error !is ProcessDied) throw error }
 
     lateinit var runner: CallRunner
 
-    /** Ends the process without any warning; calls of its coroutines to the outside have no effect from now on. */
-    fun die() {
-        death.complete(Unit)
+    /** Ends the process abruptly; external calls of its coroutines throw [ProcessDied] from now on. */
+    fun crash() {
+        crashSignal.complete(Unit)
         scope.cancel()
     }
 
-    /** Runs [call]; returns null if the process dies first. */
+    /** Runs [call]; returns null if the process crashes first. */
     suspend fun run(call: CallDemand): CallOutcome? {
-        if (death.isCompleted) return null
+        if (crashSignal.isCompleted) return null
         val running = scope.async { runner.run(call) }
         return select {
-            death.onAwait { null }
+            crashSignal.onAwait { null }
             running.onAwait { it }
         }
     }
 
-    /** Returns the result of [block], unless the process is dead before or after it. */
+    /** Returns the result of [block]; throws [ProcessDied] if the process has crashed before or after it. */
     suspend fun <T> whileAlive(block: suspend () -> T): T {
-        if (death.isCompleted) throw ProcessDied()
-        return block().also { if (death.isCompleted) throw ProcessDied() }
+        if (crashSignal.isCompleted) throw ProcessDied()
+        return block().also { if (crashSignal.isCompleted) throw ProcessDied() }
     }
 
-    /** Returns [api] as this process reaches it. */
-    fun reach(api: ObjectApi): ObjectApi =
+    /** Wraps [api] so that its calls throw [ProcessDied] once this process has crashed. */
+    fun guard(api: ObjectApi): ObjectApi =
         object : ObjectApi {
             override suspend fun get(key: ObjectKey): Either<Failure, StoredObject> = whileAlive { api.get(key) }
 
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/FaultPlan.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/FaultPlan.kt
@@ -2,7 +2,7 @@
 
 import io.sequoiawheel.experiment.virtual.VirtualTime
 
-/** One fault with its period. [slot] is the entry instance or, modulo the zones, the zone that it strikes. */
+/** One fault and its time span. [slot] is the affected entry instance or, modulo the zone count, the affected zone. */
 internal data class FaultPlan(
     val kind: Kind,
     val fromMillis: Long,
@@ -12,15 +12,15 @@
     enum class Kind { STORE_OUTAGE, LOST_ANSWERS, LATE_WRITES, STALE_READS, ZONE_CUT, ENTRY_DEATH, STORE_SLOW }
 
     companion object {
-        private const val PAIR_EVERY_MILLIS = 45_000L
+        private const val PAIR_INTERVAL_MILLIS = 45_000L
 
-        /** Returns faults in overlapping twos: a pair begins every 45 s and each of the two lasts 8 to 25 s. */
+        /** Returns faults in overlapping pairs: a pair starts every 45 s, and each of its faults lasts 8 to 25 s. */
         fun generate(
             seed: Long,
             runMillis: Long,
         ): List<FaultPlan> {
             val random = VirtualTime.random(seed, "faults")
-            return (PAIR_EVERY_MILLIS / 2 until runMillis step PAIR_EVERY_MILLIS).flatMap { start ->
+            return (PAIR_INTERVAL_MILLIS / 2 until runMillis step PAIR_INTERVAL_MILLIS).flatMap { start ->
                 val first = random.nextInt(Kind.entries.size)
                 val second = (first + 1 + random.nextInt(Kind.entries.size - 1)) % Kind.entries.size
                 listOf(first, second).map { kind ->
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/DeskGateway.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/claims/SimulatedGateway.kt
@@ -17,21 +17,21 @@
 import kotlinx.coroutines.delay
 
 /**
- * The backend servers of a plain service and the way to them. A run that has started goes on when its entry instance
- * dies. Every run gives another answer, so that an answer tells which run it came from.
+ * Simulates the backend servers of a plain service and the network to them. A run that has started continues when its
+ * entry instance crashes. Every run returns a different answer, so an answer identifies its run.
  */
-internal class DeskGateway(
+internal class SimulatedGateway(
     plans: List<CallPlan>,
     private val clock: Clock,
     private val history: HistoryRecorder,
     private val scope: CoroutineScope,
 ) {
     private val plans = plans.associateBy { it.key }
-    private val seen = HashSet<String>()
-    private var runs = 0
+    private val dispatchedKeys = HashSet<String>()
+    private var runCount = 0
 
-    /** Returns the gateway that the entry instance [entry] uses. */
-    fun of(entry: EntryModel): PlainGateway =
+    /** Returns the gateway for the entry instance [entry]. */
+    fun forEntry(entry: EntryModel): PlainGateway =
         object : PlainGateway {
             override suspend fun call(
                 replica: Instance,
@@ -49,26 +49,26 @@
     ): PlainAnswer {
         val now = clock.nowMillis()
         history.record(HistoryEvent.Dispatched(now, request.requestId, entry.id, replica.id))
-        delay(LINK_MILLIS)
+        delay(LINK_DELAY_MILLIS)
         val plan = plans.getValue(request.body)
-        val fault = if (seen.add(plan.key)) plan.fault else CallPlan.Fault.NONE
+        val fault = if (dispatchedKeys.add(plan.key)) plan.fault else CallPlan.Fault.NONE
         if (fault == CallPlan.Fault.CONNECT_FAILED || fault == CallPlan.Fault.REFUSED) {
             throw DispatchException(DispatchException.Outcome.NOT_RUN, "$fault")
         }
-        val run = start(replica, request, plan)
+        val run = startRun(replica, request, plan)
         if (fault == CallPlan.Fault.ANSWER_LOST) {
             delay(plan.durationMillis)
             throw DispatchException(DispatchException.Outcome.UNKNOWN, "$fault")
         }
-        return run.await().also { delay(LINK_MILLIS) }
+        return run.await().also { delay(LINK_DELAY_MILLIS) }
     }
 
-    private fun start(
+    private fun startRun(
         replica: Instance,
         request: PlainRequest,
         plan: CallPlan,
     ) = scope.async {
-        val answer = "\"${plan.key} run ${runs++}\""
+        val answer = "\"${plan.key} run ${runCount++}\""
         history.record(HistoryEvent.RunStarted(clock.nowMillis(), request.requestId, replica.id))
         delay(plan.durationMillis)
         history.record(HistoryEvent.RunEnded(clock.nowMillis(), request.requestId, replica.id, answer))
@@ -76,6 +76,6 @@
     }
 
     private companion object {
-        const val LINK_MILLIS = 1L
+        const val LINK_DELAY_MILLIS = 1L
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationExperiment.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationExperiment.kt
@@ -10,16 +10,16 @@
 import io.sequoiawheel.experiment.Experiment
 import io.sequoiawheel.experiment.ExperimentOptions
 import io.sequoiawheel.experiment.ExperimentReport
-import io.sequoiawheel.experiment.virtual.Figures
+import io.sequoiawheel.experiment.virtual.Statistics
 import io.sequoiawheel.experiment.virtual.VirtualTime
 import io.sequoiawheel.experiment.virtual.VirtualTime.clock
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 
 /**
- * Accepted changes on their way to every entry instance, at today's size and at the design size of 340 instances and
- * 830 changes a day, with racing operators, stale and slow stores, lost answers, cut zones, restarts, messages of old
- * peers and a paused acceptor; faults come in twos.
+ * Distributes accepted changes to every entry instance, at today's size and at the design size of 340 instances and
+ * 830 changes a day. Operators race, the store is stale or slow, answers are lost, zones are isolated, instances
+ * restart, old messages are delivered again and the acceptor pauses. Faults are injected in overlapping pairs.
  */
 class ConfigurationExperiment internal constructor(
     private val sizes: List<ConfigurationScenario.Size>,
@@ -75,88 +75,88 @@
     ): Result =
         VirtualTime.run {
             val clock = clock()
-            val world = ConfigurationWorld(seed, scenario, policy, clock, backgroundScope)
-            scenario.faults.forEach { backgroundScope.launch { world.strike(it) } }
-            world.operate()
+            val simulation = ConfigurationSimulation(seed, scenario, policy, clock, backgroundScope)
+            scenario.faults.forEach { backgroundScope.launch { simulation.inject(it) } }
+            simulation.runOperators()
             delay(ConfigurationScenario.RUN_MILLIS + SETTLE_MILLIS - clock.nowMillis())
-            world.readAudit()
-            summarize(world, world.confirmedEverywhere(), clock.nowMillis())
+            simulation.readAudit()
+            summarize(simulation, simulation.confirmedEverywhere(), clock.nowMillis())
         }
 
     private fun summarize(
-        world: ConfigurationWorld,
+        simulation: ConfigurationSimulation,
         isConfirmed: Boolean,
         endMillis: Long,
     ): Result {
-        val history = world.history.snapshot()
+        val history = simulation.history.snapshot()
         val check = HistoryChecker(CheckBounds(endMillis = endMillis)).check(history)
-        val spread = SpreadTimes(history).measure()
-        val counts = world.store.callsBySecond()
+        val propagationTimes = PropagationTimes(history).measure()
+        val storeCalls = simulation.store.callsBySecond()
         val seconds = endMillis / MILLIS_PER_SECOND
         val figures =
             mapOf(
                 "accepted" to history.count { it is HistoryEvent.DocumentAccepted }.toDouble(),
-                "operatorConflicts" to world.operators.conflicts.toDouble(),
-                "inForceP50Millis" to Figures.percentile(spread, 50.0),
-                "inForceP99Millis" to Figures.percentile(spread, 99.0),
-                "inForceMaximumMillis" to (spread.maxOrNull() ?: 0).toDouble(),
+                "operatorConflicts" to simulation.operators.conflicts.toDouble(),
+                "inForceP50Millis" to Statistics.percentile(propagationTimes, 50.0),
+                "inForceP99Millis" to Statistics.percentile(propagationTimes, 99.0),
+                "inForceMaximumMillis" to (propagationTimes.maxOrNull() ?: 0).toDouble(),
                 "reverts" to check.violations.count { "went back" in it.detail }.toDouble(),
                 "lateInstances" to check.violations.count { "was due" in it.detail }.toDouble(),
                 "lostAuditEntries" to check.violations.count { "audit trail" in it.detail }.toDouble(),
                 "confirmedEverywhere" to (if (isConfirmed) 1.0 else 0.0),
                 "factsExaminedP9" to check.examined.getValue(Promise.P9).toDouble(),
-                "storeCallsPerSecond" to counts.values.sumOf { it.total }.toDouble() / seconds,
-                "storeCallsPerSecondPeak" to (counts.values.maxOfOrNull { it.total } ?: 0).toDouble(),
+                "storeCallsPerSecond" to storeCalls.values.sumOf { it.total }.toDouble() / seconds,
+                "storeCallsPerSecondPeak" to (storeCalls.values.maxOfOrNull { it.total } ?: 0).toDouble(),
             )
         return Result(check, figures)
     }
 
-    /** For each accepted generation, the time until the last instance that stayed connected had it or a later one. */
-    private class SpreadTimes(
+    /** Measures the time until all instances that stayed connected have an accepted generation or a later one. */
+    private class PropagationTimes(
         private val history: List<HistoryEvent>,
     ) {
-        private val lastChange = HashMap<InstanceId, MutableList<Pair<Long, Boolean>>>()
+        private val connectionChanges = HashMap<InstanceId, MutableList<Pair<Long, Boolean>>>()
         private val applied = HashMap<Pair<InstanceId, ServiceName>, MutableList<HistoryEvent.DocumentApplied>>()
 
         fun measure(): List<Long> {
             history.forEach { event ->
                 when (event) {
-                    is HistoryEvent.EntryConnected -> connection(event.entry, event.atMillis, true)
-                    is HistoryEvent.EntryDisconnected -> connection(event.entry, event.atMillis, false)
+                    is HistoryEvent.EntryConnected -> recordConnection(event.entry, event.atMillis, true)
+                    is HistoryEvent.EntryDisconnected -> recordConnection(event.entry, event.atMillis, false)
                     is HistoryEvent.DocumentApplied ->
                         applied.getOrPut(event.entry to event.service) { mutableListOf() } += event
                     else -> Unit
                 }
             }
-            return history.filterIsInstance<HistoryEvent.DocumentAccepted>().mapNotNull(::timeOf)
+            return history.filterIsInstance<HistoryEvent.DocumentAccepted>().mapNotNull(::propagationMillis)
         }
 
-        private fun connection(
+        private fun recordConnection(
             entry: InstanceId,
             atMillis: Long,
             isConnected: Boolean,
         ) {
-            lastChange.getOrPut(entry) { mutableListOf() } += atMillis to isConnected
+            connectionChanges.getOrPut(entry) { mutableListOf() } += atMillis to isConnected
         }
 
-        private fun timeOf(accepted: HistoryEvent.DocumentAccepted): Long? {
-            val window = accepted.atMillis..accepted.atMillis + WINDOW_MILLIS
-            val steady =
-                lastChange.filterValues { changes ->
+        private fun propagationMillis(accepted: HistoryEvent.DocumentAccepted): Long? {
+            val window = accepted.atMillis..accepted.atMillis + MAXIMUM_PROPAGATION_MILLIS
+            val connectedThroughout =
+                connectionChanges.filterValues { changes ->
                     changes.lastOrNull { it.first < window.first }?.second == true &&
                         changes.none { it.first in window }
                 }
-            return steady.keys.maxOfOrNull { entry ->
+            return connectedThroughout.keys.maxOfOrNull { entry ->
                 applied[entry to accepted.service]
                     ?.firstOrNull { it.generation >= accepted.generation }
-                    ?.let { maxOf(0, it.atMillis - accepted.atMillis) } ?: WINDOW_MILLIS
+                    ?.let { maxOf(0, it.atMillis - accepted.atMillis) } ?: MAXIMUM_PROPAGATION_MILLIS
             }
         }
     }
 
     private companion object {
         const val SETTLE_MILLIS = 60_000L
-        const val WINDOW_MILLIS = 60_000L
+        const val MAXIMUM_PROPAGATION_MILLIS = 60_000L
         const val MILLIS_PER_SECOND = 1_000L
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationNetwork.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationNetwork.kt
@@ -9,8 +9,8 @@
 import org.apache.commons.rng.UniformRandomProvider
 
 /**
- * The links between entry instances. Messages get lost, and old ones arrive again much later, as from a peer that
- * was paused.
+ * Simulates the links between entry instances. Some messages are lost, and some are delivered a second time much later,
+ * as if from a peer that was paused.
  */
 internal class ConfigurationNetwork(
     private val random: UniformRandomProvider,
@@ -19,8 +19,8 @@
     private val nodes = LinkedHashMap<InstanceId, ConfigurationNode>()
     private val trees = HashMap<ZoneName, RelayTree>()
 
-    /** Zones that reach no other zone. */
-    val isolated = mutableSetOf<ZoneName>()
+    /** Zones without a connection to any other zone. */
+    val isolatedZones = mutableSetOf<ZoneName>()
 
     val all: Collection<ConfigurationNode> get() = nodes.values.toList()
 
@@ -34,14 +34,14 @@
         trees.remove(node.zone)
     }
 
-    fun nodesOf(zone: ZoneName): List<ConfigurationNode> = nodes.values.filter { it.zone == zone }
+    fun nodesIn(zone: ZoneName): List<ConfigurationNode> = nodes.values.filter { it.zone == zone }
 
-    fun tree(zone: ZoneName): RelayTree = trees.getOrPut(zone) { RelayTree(zone.value, nodesOf(zone).map { it.id }) }
+    fun tree(zone: ZoneName): RelayTree = trees.getOrPut(zone) { RelayTree(zone.value, nodesIn(zone).map { it.id }) }
 
     fun node(id: InstanceId?): ConfigurationNode? = id?.let { nodes[it] }
 
-    /** Returns the watchers of the zones other than [zone], from a random one on. */
-    fun foreignWatchers(zone: ZoneName): List<InstanceId> {
+    /** Returns the watchers of all zones except [zone], rotated by a random offset. */
+    fun otherZoneWatchers(zone: ZoneName): List<InstanceId> {
         val watchers =
             nodes.values
                 .map { it.zone }
@@ -53,50 +53,50 @@
         return watchers.drop(first) + watchers.take(first)
     }
 
-    /** Delivers a relay to [to], or loses it; some are delivered once more after a long time. */
+    /** Delivers a message to [to] or drops it; some messages are delivered again after a long delay. */
     fun send(
         from: ConfigurationNode,
         to: ConfigurationNode,
         deliver: (ConfigurationNode) -> Unit,
     ) {
         val draw = random.nextDouble()
-        if (draw < LOSS) return
+        if (draw < LOSS_PROBABILITY) return
         scope.launch {
-            delay(linkMillis(from, to))
-            if (connected(from, to)) deliver(to)
-            if (draw < LOSS + REPETITION) {
-                delay(REPEATED_AFTER_MILLIS + random.nextLong(REPEATED_AFTER_MILLIS))
-                if (connected(from, to)) deliver(to)
+            delay(linkDelayMillis(from, to))
+            if (isConnected(from, to)) deliver(to)
+            if (draw < LOSS_PROBABILITY + DUPLICATE_PROBABILITY) {
+                delay(DUPLICATE_DELAY_MILLIS + random.nextLong(DUPLICATE_DELAY_MILLIS))
+                if (isConnected(from, to)) deliver(to)
             }
         }
     }
 
-    /** Returns the answer of [to], or null if it cannot be reached. */
-    suspend fun <T> ask(
+    /** Returns the answer of [to], or null if it cannot be reached or a message is lost. */
+    suspend fun <T> query(
         from: ConfigurationNode,
         to: ConfigurationNode,
-        question: (ConfigurationNode) -> T,
+        request: (ConfigurationNode) -> T,
     ): T? {
-        delay(2 * linkMillis(from, to))
-        return if (connected(from, to) && random.nextDouble() >= LOSS) question(to) else null
+        delay(2 * linkDelayMillis(from, to))
+        return if (isConnected(from, to) && random.nextDouble() >= LOSS_PROBABILITY) request(to) else null
     }
 
-    private fun connected(
+    private fun isConnected(
         from: ConfigurationNode,
         to: ConfigurationNode,
     ): Boolean {
         if (to.id !in nodes || to.isPaused) return false
-        return from.zone == to.zone || (from.zone !in isolated && to.zone !in isolated)
+        return from.zone == to.zone || (from.zone !in isolatedZones && to.zone !in isolatedZones)
     }
 
-    private fun linkMillis(
+    private fun linkDelayMillis(
         from: ConfigurationNode,
         to: ConfigurationNode,
     ): Long = 1 + random.nextLong(if (from.zone == to.zone) 2 else 4)
 
     private companion object {
-        const val LOSS = 0.02
-        const val REPETITION = 0.03
-        const val REPEATED_AFTER_MILLIS = 5_000L
+        const val LOSS_PROBABILITY = 0.02
+        const val DUPLICATE_PROBABILITY = 0.03
+        const val DUPLICATE_DELAY_MILLIS = 5_000L
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationNode.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationNode.kt
@@ -24,7 +24,7 @@
 import kotlinx.coroutines.launch
 import org.apache.commons.rng.UniformRandomProvider
 
-/** The configuration duties of one entry instance. */
+/** Simulates how one entry instance receives, relays, repairs and accepts configuration. */
 internal class ConfigurationNode(
     val id: InstanceId,
     val zone: ZoneName,
@@ -36,8 +36,8 @@
     private val random: UniformRandomProvider,
 ) {
     private val paused = MutableStateFlow(false)
-    private val api = GatedApi(client, ::awaitRunning)
-    private val inForce = InForce(policy.checksGeneration)
+    private val api = PausableApi(client, ::awaitRunning)
+    private val inForce = DocumentsInForce(policy.checksGeneration)
     private val progress = SubtreeProgress(inForce.applied)
     private val writer = InForceWriter(api, clock)
     private val lease = Lease(api, "acceptor", id, clock)
@@ -58,12 +58,12 @@
         history.record(HistoryEvent.EntryConnected(clock.nowMillis(), id))
         job =
             scope.launch {
-                if (policy.relays) learnFromPeers()
-                if (policy.repairs) launch { every(REPAIR_MILLIS) { repair() } }
-                if (policy.repairs && policy.checksGeneration) {
-                    launch { every(ZONE_REPAIR_MILLIS) { repairAcrossZones() } }
+                if (policy.usesRelays) updateFromPeers()
+                if (policy.usesRepair) launch { repeatEvery(REPAIR_INTERVAL_MILLIS) { repair() } }
+                if (policy.usesRepair && policy.checksGeneration) {
+                    launch { repeatEvery(CROSS_ZONE_REPAIR_INTERVAL_MILLIS) { repairAcrossZones() } }
                 }
-                if (!policy.relays) launch { every(POLL_MILLIS) { poll() } }
+                if (!policy.usesRelays) launch { repeatEvery(POLL_INTERVAL_MILLIS) { poll() } }
                 launch { superviseWatcher() }
             }
     }
@@ -77,34 +77,34 @@
         paused.first { !it }
     }
 
-    private suspend fun every(
+    private suspend fun repeatEvery(
         millis: Long,
-        step: suspend () -> Unit,
+        action: suspend () -> Unit,
     ) {
         delay(random.nextLong(millis))
         while (true) {
             awaitRunning()
-            step()
+            action()
             delay(millis)
         }
     }
 
-    /** Puts [documents] in force and relays those that were new here. */
+    /** Puts [documents] in force and relays those that this instance did not have yet. */
     fun receive(documents: Collection<AcceptedDocument>) {
-        val fresh = documents.filter { inForce.apply(it) }
-        fresh.forEach {
+        val newDocuments = documents.filter { inForce.apply(it) }
+        newDocuments.forEach {
             history.record(HistoryEvent.DocumentApplied(clock.nowMillis(), id, it.service, it.generation))
         }
-        if (fresh.isEmpty() || !policy.relays) return
+        if (newDocuments.isEmpty() || !policy.usesRelays) return
         val tree = network.tree(zone)
-        val up = tree.root?.takeIf { isWatcher && it != id && policy.checksGeneration }
-        val targets = tree.children(id) + listOfNotNull(up)
-        targets.mapNotNull(network::node).forEach { peer -> network.send(this, peer) { it.receive(fresh) } }
+        val rootTarget = tree.root?.takeIf { isWatcher && it != id && policy.checksGeneration }
+        val targets = tree.children(id) + listOfNotNull(rootTarget)
+        targets.mapNotNull(network::node).forEach { peer -> network.send(this, peer) { it.receive(newDocuments) } }
     }
 
-    private suspend fun learnFromPeers() {
-        network.nodesOf(zone).filter { it.id != id }.take(START_PEERS).forEach { peer ->
-            network.ask(this, peer) { it.inForce.documents().toList() }?.let(::receive)
+    private suspend fun updateFromPeers() {
+        network.nodesIn(zone).filter { it.id != id }.take(INITIAL_PEER_COUNT).forEach { peer ->
+            network.query(this, peer) { it.inForce.documents().toList() }?.let(::receive)
         }
         if (inForce.documents().isEmpty()) poll()
     }
@@ -113,75 +113,75 @@
         api.list(ObjectKind.ACCEPTED).onRight { receive(decode(it)) }
     }
 
-    /** Compares digests with the first peer that answers; both learn what the other lacks. */
+    /** Compares digests with the first peer that answers; each sends the documents that the other lacks. */
     private suspend fun repair() {
         val tree = network.tree(zone)
         if (tree.root == id) return
-        val peers = RepairPeers.candidates(id, tree, network.foreignWatchers(zone))
-        peers.mapNotNull(network::node).firstOrNull { compare(it, reports = it.id == tree.parent(id)) }
+        val peers = RepairPeers.candidates(id, tree, network.otherZoneWatchers(zone))
+        peers.mapNotNull(network::node).firstOrNull { compare(it, sendsReport = it.id == tree.parent(id)) }
     }
 
     private suspend fun repairAcrossZones() {
-        if (isWatcher) network.foreignWatchers(zone).firstNotNullOfOrNull(network::node)?.let { compare(it, false) }
+        if (isWatcher) network.otherZoneWatchers(zone).firstNotNullOfOrNull(network::node)?.let { compare(it, false) }
     }
 
     /** Returns whether [peer] answered. */
     private suspend fun compare(
         peer: ConfigurationNode,
-        reports: Boolean,
+        sendsReport: Boolean,
     ): Boolean {
         val digest = inForce.digest()
-        val theirs =
-            network.ask(this, peer) { other ->
-                if (reports) other.progress.receive(id, progress.report(clock.nowMillis()), clock.nowMillis())
+        val peerDocuments =
+            network.query(this, peer) { other ->
+                if (sendsReport) other.progress.receive(id, progress.report(clock.nowMillis()), clock.nowMillis())
                 if (other.inForce.digest() == digest) emptyList() else other.inForce.documents().toList()
             } ?: return false
-        if (theirs.isEmpty()) return true
-        // Without the check of generations two peers would exchange their documents for ever: only one side learns.
+        if (peerDocuments.isEmpty()) return true
+        // Only one side learns without the generation check; otherwise two peers would exchange documents forever.
         if (policy.checksGeneration) {
-            val mine = inForce.documents().toList()
-            network.send(this, peer) { it.receive(mine) }
+            val ownDocuments = inForce.documents().toList()
+            network.send(this, peer) { it.receive(ownDocuments) }
         }
-        receive(theirs)
+        receive(peerDocuments)
         return true
     }
 
     private suspend fun superviseWatcher() {
-        var duties: Job? = null
+        var watcherJob: Job? = null
         coroutineScope {
             while (true) {
                 awaitRunning()
-                if (isWatcher && duties == null) duties = launch { watcherDuties() }
-                if (!isWatcher && duties != null) {
-                    duties?.cancel()
-                    duties = null
+                if (isWatcher && watcherJob == null) watcherJob = launch { runWatcherTasks() }
+                if (!isWatcher && watcherJob != null) {
+                    watcherJob?.cancel()
+                    watcherJob = null
                 }
-                delay(MEMBERSHIP_MILLIS)
+                delay(MEMBERSHIP_CHECK_INTERVAL_MILLIS)
             }
         }
     }
 
-    private suspend fun watcherDuties() =
+    private suspend fun runWatcherTasks() =
         coroutineScope {
             launch { lease.run() }
             launch { DocumentAcceptor(api, id, clock, lease::isHeld) { receive(listOf(it)) }.run() }
-            if (policy.relays) launch { watch() }
-            if (policy.repairs) launch { every(REPAIR_MILLIS) { report() } }
+            if (policy.usesRelays) launch { watch() }
+            if (policy.usesRepair) launch { repeatEvery(REPAIR_INTERVAL_MILLIS) { report() } }
         }
 
     private suspend fun watch() {
         var revision: Long? = null
         while (true) {
-            val known = revision
+            val knownRevision = revision
             val answer =
-                if (known ==
+                if (knownRevision ==
                     null
                 ) {
                     api.list(ObjectKind.ACCEPTED)
                 } else {
-                    api.watch(ObjectKind.ACCEPTED, known, WATCH_MILLIS)
+                    api.watch(ObjectKind.ACCEPTED, knownRevision, WATCH_TIMEOUT_MILLIS)
                 }
-            answer.fold({ delay(1 + random.nextLong(RETRY_MILLIS)) }, { listing ->
+            answer.fold({ delay(1 + random.nextLong(MAXIMUM_RETRY_DELAY_MILLIS)) }, { listing ->
                 receive(decode(listing))
                 revision = listing.revision
             })
@@ -190,7 +190,7 @@
 
     private suspend fun report() {
         if (network.tree(zone).root != id) return
-        val expected = network.nodesOf(zone).size
+        val expected = network.nodesIn(zone).size
         writer.writeIfDue(InForceStatus(zone, id.value, expected, progress.report(clock.nowMillis())))
     }
 
@@ -198,12 +198,12 @@
         listing.objects.mapNotNull { AcceptedDocument.decode(it.value).getOrNull() }
 
     private companion object {
-        const val REPAIR_MILLIS = 2_000L
-        const val ZONE_REPAIR_MILLIS = 5_000L
-        const val POLL_MILLIS = 10_000L
-        const val MEMBERSHIP_MILLIS = 1_000L
-        const val WATCH_MILLIS = 30_000L
-        const val RETRY_MILLIS = 1_000L
-        const val START_PEERS = 2
+        const val REPAIR_INTERVAL_MILLIS = 2_000L
+        const val CROSS_ZONE_REPAIR_INTERVAL_MILLIS = 5_000L
+        const val POLL_INTERVAL_MILLIS = 10_000L
+        const val MEMBERSHIP_CHECK_INTERVAL_MILLIS = 1_000L
+        const val WATCH_TIMEOUT_MILLIS = 30_000L
+        const val MAXIMUM_RETRY_DELAY_MILLIS = 1_000L
+        const val INITIAL_PEER_COUNT = 2
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationPolicy.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationPolicy.kt
@@ -1,21 +1,21 @@
 package io.sequoiawheel.experiment.configuration
 
-/** How accepted documents reach the entry instances. */
+/** How accepted documents are distributed to the entry instances. */
 internal enum class ConfigurationPolicy(
     val label: String,
-    val relays: Boolean = true,
-    val repairs: Boolean = true,
+    val usesRelays: Boolean = true,
+    val usesRepair: Boolean = true,
     val checksGeneration: Boolean = true,
 ) {
-    /** Watchers, a tree in each zone, repair by digests, generations that only rise. */
+    /** Watchers, a relay tree in each zone, repair by digests, and generations that only increase. */
     OWN("sequoiawheel"),
 
-    /** As ours, but an instance puts in force whatever arrives last. */
+    /** Like [OWN], but an instance puts the document that arrived last in force, whatever its generation. */
     LAST_ARRIVAL("last-arrival", checksGeneration = false),
 
-    /** As ours, without the comparison of digests. */
-    NO_REPAIR("no-repair", repairs = false),
+    /** Like [OWN], without repair by digests. */
+    NO_REPAIR("no-repair", usesRepair = false),
 
     /** Every instance reads all accepted documents from the object API every 10 s. */
-    POLL("poll-object-api", relays = false, repairs = false),
+    POLL("poll-object-api", usesRelays = false, usesRepair = false),
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationScenario.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationScenario.kt
@@ -3,36 +3,36 @@
 import io.sequoiawheel.experiment.virtual.VirtualTime
 
 /**
- * The events of one run, the same for every policy.
+ * The events of one run. Every policy gets the same events.
  *
  * @property changes changes by operators
- * @property faults faults in overlapping twos
+ * @property faults faults in overlapping pairs, and restarts
  */
 internal class ConfigurationScenario(
     val size: Size,
     val changes: List<Change>,
     val faults: List<Fault>,
 ) {
-    /** A deployment. [perDay] is a rate of changes; [restartsPerDay] one of entry instances. */
+    /** A deployment size, with the rates of changes and of entry instance restarts per day. */
     enum class Size(
         val zones: Int,
         val perZone: Int,
         val services: Int,
-        val perDay: Int,
+        val changesPerDay: Int,
         val restartsPerDay: Int,
     ) {
         TODAY(3, 2, 2, 800, 400),
         DESIGN(5, 68, 20, 830, 130),
     }
 
-    /** One change; two operators race for it if [isRace]. */
+    /** One change by an operator. If [isRace], a second operator changes the same document at the same time. */
     class Change(
         val atMillis: Long,
         val service: Int,
         val isRace: Boolean,
     )
 
-    /** One fault. [choice] selects the zone or instance that it strikes. */
+    /** One fault. [choice] selects the affected zone or instance. */
     class Fault(
         val kind: Kind,
         val fromMillis: Long,
@@ -40,7 +40,7 @@
         val choice: Int,
     )
 
-    /** What goes wrong. */
+    /** The kind of a fault. */
     enum class Kind {
         STORE_OUTAGE,
         LOST_ANSWERS,
@@ -56,7 +56,7 @@
     companion object {
         const val RUN_MILLIS = 3_600_000L
         private const val DAY_MILLIS = 86_400_000.0
-        private const val PAIR_EVERY_MILLIS = 120_000L
+        private const val PAIR_INTERVAL_MILLIS = 120_000L
         private const val RACE_SHARE = 0.3
 
         fun generate(
@@ -64,7 +64,7 @@
             size: Size,
         ): ConfigurationScenario {
             val random = VirtualTime.random(seed, "scenario $size")
-            val count = (size.perDay * RUN_MILLIS / DAY_MILLIS).toInt()
+            val count = (size.changesPerDay * RUN_MILLIS / DAY_MILLIS).toInt()
             val changes =
                 List(count) {
                     Change(
@@ -75,7 +75,7 @@
                 }.sortedBy { it.atMillis }
             val kinds = Kind.entries - Kind.RESTART
             val pairs =
-                (PAIR_EVERY_MILLIS / 2 until RUN_MILLIS step PAIR_EVERY_MILLIS).flatMap { start ->
+                (PAIR_INTERVAL_MILLIS / 2 until RUN_MILLIS step PAIR_INTERVAL_MILLIS).flatMap { start ->
                     val first = random.nextInt(kinds.size)
                     val second = (first + 1 + random.nextInt(kinds.size - 1)) % kinds.size
                     listOf(first, second).map { kind ->
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationWorld.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/ConfigurationSimulation.kt
@@ -17,8 +17,8 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 
-/** Entry instances in their zones, the object store, operators and faults of one run. */
-internal class ConfigurationWorld(
+/** Simulates entry instances in their zones, the object store and operators, and injects the faults of one run. */
+internal class ConfigurationSimulation(
     seed: Long,
     private val scenario: ConfigurationScenario,
     private val policy: ConfigurationPolicy,
@@ -30,7 +30,7 @@
     val operators = OperatorModel(store.client(), clock)
     private val random = VirtualTime.random(seed, "nodes")
     private val network = ConfigurationNetwork(VirtualTime.random(seed, "network"), scope)
-    private val active = mutableListOf<ConfigurationScenario.Fault>()
+    private val activeFaults = mutableListOf<ConfigurationScenario.Fault>()
     private val zones = List(scenario.size.zones) { ZoneName("z$it") }
     private var incarnations = 0
 
@@ -61,8 +61,8 @@
         applyFaults()
     }
 
-    /** Lets every operator make the changes of the scenario. */
-    suspend fun operate() =
+    /** Starts the operators' changes of the scenario and waits until they are done. */
+    suspend fun runOperators() =
         coroutineScope {
             scenario.changes.forEachIndexed { number, change ->
                 launch {
@@ -73,29 +73,29 @@
             }
         }
 
-    /** Carries [fault] out from its beginning to its end. */
-    suspend fun strike(fault: ConfigurationScenario.Fault) {
+    /** Applies [fault] from its start until its end. */
+    suspend fun inject(fault: ConfigurationScenario.Fault) {
         delay(fault.fromMillis - clock.nowMillis())
         when (fault.kind) {
             ConfigurationScenario.Kind.RESTART -> restart(fault)
             ConfigurationScenario.Kind.ACCEPTOR_PAUSED ->
-                pause(network.all.firstOrNull { it.isAcceptor } ?: pick(fault), fault)
-            ConfigurationScenario.Kind.INSTANCE_PAUSED -> pause(pick(fault), fault)
-            ConfigurationScenario.Kind.ZONE_ISOLATED -> isolate(zones[fault.choice % zones.size], fault)
+                pause(network.all.firstOrNull { it.isAcceptor } ?: selectNode(fault), fault)
+            ConfigurationScenario.Kind.INSTANCE_PAUSED -> pause(selectNode(fault), fault)
+            ConfigurationScenario.Kind.ZONE_ISOLATED -> isolateZone(zones[fault.choice % zones.size], fault)
             else -> {
-                active += fault
+                activeFaults += fault
                 applyFaults()
                 delay(fault.untilMillis - clock.nowMillis())
-                active -= fault
+                activeFaults -= fault
                 applyFaults()
             }
         }
     }
 
-    private fun pick(fault: ConfigurationScenario.Fault) = network.all.elementAt(fault.choice % network.all.size)
+    private fun selectNode(fault: ConfigurationScenario.Fault) = network.all.elementAt(fault.choice % network.all.size)
 
     private suspend fun restart(fault: ConfigurationScenario.Fault) {
-        val node = pick(fault)
+        val node = selectNode(fault)
         node.stop()
         network.remove(node)
         delay(fault.untilMillis - clock.nowMillis())
@@ -111,31 +111,31 @@
         history.record(HistoryEvent.EntryDisconnected(clock.nowMillis(), node.id))
         delay(fault.untilMillis - clock.nowMillis())
         node.isPaused = false
-        if (node in network.all) connectAgain(node)
+        if (node in network.all) recordReconnect(node)
     }
 
-    private suspend fun isolate(
+    private suspend fun isolateZone(
         zone: ZoneName,
         fault: ConfigurationScenario.Fault,
     ) {
-        network.isolated += zone
-        active += fault
+        network.isolatedZones += zone
+        activeFaults += fault
         applyFaults()
-        network.nodesOf(zone).forEach { history.record(HistoryEvent.EntryDisconnected(clock.nowMillis(), it.id)) }
+        network.nodesIn(zone).forEach { history.record(HistoryEvent.EntryDisconnected(clock.nowMillis(), it.id)) }
         delay(fault.untilMillis - clock.nowMillis())
-        network.isolated -= zone
-        active -= fault
+        network.isolatedZones -= zone
+        activeFaults -= fault
         applyFaults()
-        network.nodesOf(zone).forEach(::connectAgain)
+        network.nodesIn(zone).forEach(::recordReconnect)
     }
 
-    private fun connectAgain(node: ConfigurationNode) {
-        if (node.isPaused || node.zone in network.isolated) return
+    private fun recordReconnect(node: ConfigurationNode) {
+        if (node.isPaused || node.zone in network.isolatedZones) return
         history.record(HistoryEvent.EntryConnected(clock.nowMillis(), node.id))
     }
 
     private fun applyFaults() {
-        val kinds = active.map { it.kind }.toSet()
+        val kinds = activeFaults.map { it.kind }.toSet()
         store.faults =
             StoreFaults(
                 outage = ConfigurationScenario.Kind.STORE_OUTAGE in kinds,
@@ -144,12 +144,13 @@
                 lostCallProbability = if (ConfigurationScenario.Kind.LOST_ANSWERS in kinds) LOSS / 2 else 0.0,
                 staleMillis = if (ConfigurationScenario.Kind.STALE_READS in kinds) STALE_MILLIS else 0,
             )
-        val cutKinds = setOf(ConfigurationScenario.Kind.ZONE_CUT_FROM_STORE, ConfigurationScenario.Kind.ZONE_ISOLATED)
-        val cut = active.filter { it.kind in cutKinds }.map { zones[it.choice % zones.size] }
-        network.all.forEach { it.client.faults = StoreFaults(outage = it.zone in cut, latencyMillis = 0) }
+        val isolatingKinds =
+            setOf(ConfigurationScenario.Kind.ZONE_CUT_FROM_STORE, ConfigurationScenario.Kind.ZONE_ISOLATED)
+        val zonesWithoutStore = activeFaults.filter { it.kind in isolatingKinds }.map { zones[it.choice % zones.size] }
+        network.all.forEach { it.client.faults = StoreFaults(outage = it.zone in zonesWithoutStore, latencyMillis = 0) }
     }
 
-    /** Records the audit trails as operators read them. */
+    /** Reads the audit trails as an operator does and records them in the history. */
     suspend fun readAudit() {
         repeat(scenario.size.services) { number ->
             ConfigurationReader(store).audit(service(number)).onRight { audit ->
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/OperatorModel.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/OperatorModel.kt
@@ -10,7 +10,7 @@
 import io.sequoiawheel.core.platform.ObjectKind
 import kotlinx.coroutines.delay
 
-/** An operator who changes one number of a document by a conditional write, and reads again after a conflict. */
+/** Simulates an operator who changes a number in a document with a conditional write and retries after a conflict. */
 internal class OperatorModel(
     private val api: ObjectApi,
     private val clock: Clock,
@@ -18,15 +18,15 @@
     var conflicts = 0
         private set
 
-    /** Changes [service] until the change is in the object; [number] tells the changes apart. */
+    /** Changes [service] and retries until the change is stored or times out; [number] identifies the change. */
     suspend fun change(
         service: ServiceName,
         author: String,
         number: Int,
     ) {
         val key = ObjectKey(ObjectKind.DOCUMENT, service.value)
-        val giveUpAt = clock.nowMillis() + GIVE_UP_MILLIS
-        while (clock.nowMillis() < giveUpAt) {
+        val timeoutAt = clock.nowMillis() + TIMEOUT_MILLIS
+        while (clock.nowMillis() < timeoutAt) {
             val current = api.get(key)
             val code = current.leftOrNull()?.code
             if (code == null || code == ResultCode.OBJECT_NOT_FOUND) {
@@ -37,7 +37,7 @@
                 val failure = api.put(key, text, found?.version ?: 0).leftOrNull() ?: return
                 if (failure.code == ResultCode.DOCUMENT_CONFLICT) conflicts++
             }
-            delay(RETRY_MILLIS)
+            delay(RETRY_DELAY_MILLIS)
         }
     }
 
@@ -53,7 +53,7 @@
     )
 
     private companion object {
-        const val GIVE_UP_MILLIS = 120_000L
-        const val RETRY_MILLIS = 200L
+        const val TIMEOUT_MILLIS = 120_000L
+        const val RETRY_DELAY_MILLIS = 200L
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/GatedApi.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/configuration/PausableApi.kt
@@ -8,33 +8,33 @@
 import io.sequoiawheel.core.platform.ObjectListing
 import io.sequoiawheel.core.platform.StoredObject
 
-/** The object API as a process reaches it that can be paused before and after each call. */
-internal class GatedApi(
+/** Wraps the object API for a process that can be paused before and after each call. */
+internal class PausableApi(
     private val api: ObjectApi,
     private val awaitRunning: suspend () -> Unit,
 ) : ObjectApi {
-    override suspend fun get(key: ObjectKey): Either<Failure, StoredObject> = gated { api.get(key) }
+    override suspend fun get(key: ObjectKey): Either<Failure, StoredObject> = pausable { api.get(key) }
 
-    override suspend fun list(kind: ObjectKind): Either<Failure, ObjectListing> = gated { api.list(kind) }
+    override suspend fun list(kind: ObjectKind): Either<Failure, ObjectListing> = pausable { api.list(kind) }
 
     override suspend fun put(
         key: ObjectKey,
         value: String,
         expectedVersion: Long,
-    ): Either<Failure, Long> = gated { api.put(key, value, expectedVersion) }
+    ): Either<Failure, Long> = pausable { api.put(key, value, expectedVersion) }
 
     override suspend fun delete(
         key: ObjectKey,
         expectedVersion: Long,
-    ): Either<Failure, Unit> = gated { api.delete(key, expectedVersion) }
+    ): Either<Failure, Unit> = pausable { api.delete(key, expectedVersion) }
 
     override suspend fun watch(
         kind: ObjectKind,
         revision: Long,
         waitMillis: Long,
-    ): Either<Failure, ObjectListing> = gated { api.watch(kind, revision, waitMillis) }
+    ): Either<Failure, ObjectListing> = pausable { api.watch(kind, revision, waitMillis) }
 
-    private suspend fun <T> gated(call: suspend () -> T): T {
+    private suspend fun <T> pausable(call: suspend () -> T): T {
         awaitRunning()
         return call().also { awaitRunning() }
     }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/ControlCostExperiment.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/ControlCostExperiment.kt
@@ -5,8 +5,8 @@
 import io.sequoiawheel.experiment.ExperimentReport
 
 /**
- * Measures what control costs at several sizes and works out the costs of one daemon today and at the design size.
- * Processor times and heap are measured on the machine, so they differ between runs; sizes of messages do not.
+ * Measures control costs at several sizes and computes the costs of one daemon today and at the design size. CPU times
+ * and heap are measured, so they differ between runs; message sizes do not.
  */
 class ControlCostExperiment : Experiment {
     override val name = "control-cost"
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/ControlSlopes.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/ControlSlopes.kt
@@ -1,5 +1,6 @@
 /*
- * The costs of control that grow with the size of a deployment, measured on the real structures at several sizes.
+ * Measures the control costs that grow with the size of a deployment, on the production data structures at several
+ * sizes.
  */
 package io.sequoiawheel.experiment.control
 
@@ -31,29 +32,29 @@
     private val zone = ZoneName("zone-a")
     private val self = entry(0)
 
-    /** Processor time of one reservation and its release at a granting instance. */
+    /** CPU time of one reservation and its release at a granting instance. */
     val reserveCpu =
         Slope.measure("reserveAndReleaseCpuMicros", "outstandingReservation", listOf(25, 50, 100, 200)) { outstanding ->
             val ledger = ledger(outstanding)
             Meter.cpuMicros(RESERVE_REPETITIONS) { index ->
                 val request = RequestId("measured-$index")
-                ledger.reserve(self.id, Reservation(request, WorkspaceName("w"), 200, 400), WARM_MILLIS)
+                ledger.reserve(self.id, Reservation(request, WorkspaceName("w"), 200, 400), WARMED_UP_MILLIS)
                 ledger.release(self.id, request)
             }
         }
 
-    /** Processor time of one heartbeat at a granting instance. */
+    /** CPU time of one heartbeat at a granting instance. */
     val heartbeatCpu =
         Slope.measure("heartbeatCpuMicros", "outstandingReservation", listOf(25, 50, 100, 200)) { outstanding ->
             val ledger = ledger(outstanding)
             var sequence = FIRST_SEQUENCE
             var echo = 0L
             Meter.cpuMicros(HEARTBEAT_REPETITIONS) {
-                echo = ledger.heartbeat(heartbeat(sequence++, echo, emptyList()), WARM_MILLIS).nonce
+                echo = ledger.heartbeat(heartbeat(sequence++, echo, emptyList()), WARMED_UP_MILLIS).nonce
             }
         }
 
-    /** Processor time of applying one changed instance list. */
+    /** CPU time of applying one changed instance list. */
     val membershipCpu =
         Slope.measure("membershipApplyCpuMicros", "listedInstance", listOf(100, 300, 600, 940)) { size ->
             val table = MembershipTable(self)
@@ -64,7 +65,7 @@
             }
         }
 
-    /** Heap of the membership table. */
+    /** Heap retained by the membership table. */
     val membershipHeap =
         Slope.measure("membershipHeapBytes", "listedInstance", listOf(1_000, 4_000, 16_000)) { size ->
             Meter
@@ -75,7 +76,7 @@
                 }.toDouble()
         }
 
-    /** Heap of a document in force. */
+    /** Heap retained by a document in force. */
     val configurationHeap =
         Slope.measure("documentHeapBytes", "namedWorkspace", listOf(4_200, 16_800, 67_200)) { workspaces ->
             Meter
@@ -86,7 +87,7 @@
                 }.toDouble()
         }
 
-    /** Text of an accepted document, as it is stored and relayed. */
+    /** Size of an accepted document, as it is stored and relayed. */
     val documentText =
         Slope.measure("acceptedDocumentBytes", "namedWorkspace", listOf(0, 420, 4_200)) { workspaces ->
             AcceptedDocument(1, 1, document(workspaces), emptyList())
@@ -95,13 +96,13 @@
                 .toDouble()
         }
 
-    /** Heap of learned output lengths. */
+    /** Heap retained by the length estimator's histories. */
     val lengthHeap =
         Slope.measure("lengthHistoryHeapBytes", "workspace", listOf(250, 500, 1_000)) { workspaces ->
-            Meter.retainedBytes { learnedLengths(workspaces) }.toDouble()
+            Meter.retainedBytes { trainedEstimator(workspaces) }.toDouble()
         }
 
-    /** Processor time of one request through the fair queue. */
+    /** CPU time of one request through the fair queue. */
     val queueCpu =
         Slope.measure("fairQueueCpuMicros", "backloggedWorkspace", listOf(10, 100, 400)) { workspaces ->
             val queue = FairQueue<Int>(QueueLimits(maximumRequests = 100_000, maximumWaitMillis = 10_000_000))
@@ -132,12 +133,12 @@
         var echo = 0L
         val held = List(outstanding) { Reservation(RequestId("held-$it"), WorkspaceName("w${it % 10}"), 200, 400) }
         for (sequence in 1 until FIRST_SEQUENCE) {
-            val now = WARM_MILLIS - (FIRST_SEQUENCE - sequence) * MILLIS_PER_SECOND
+            val now = WARMED_UP_MILLIS - (FIRST_SEQUENCE - sequence) * MILLIS_PER_SECOND
             ledger.update(view, isReplicaLeaving = false, nowMillis = now)
             ledger.report(report(), now)
             echo = ledger.heartbeat(heartbeat(sequence, echo, held), now).nonce
         }
-        ledger.report(report(), WARM_MILLIS)
+        ledger.report(report(), WARMED_UP_MILLIS)
         return ledger
     }
 
@@ -182,11 +183,11 @@
                 ),
         )
 
-    private fun learnedLengths(workspaces: Int): LengthEstimator {
+    private fun trainedEstimator(workspaces: Int): LengthEstimator {
         val estimator = LengthEstimator()
         repeat(workspaces) { workspace ->
             val key = LengthKey(ServiceName("writers"), WorkspaceName("workspace-$workspace"), "letter")
-            repeat(SAMPLES) { estimator.record(key, 10 + it * it * it % LONGEST_OUTPUT) }
+            repeat(SAMPLES_PER_WORKSPACE) { estimator.record(key, 10 + it * it * it % LONGEST_OUTPUT) }
         }
         return estimator
     }
@@ -197,10 +198,10 @@
         const val MEMBERSHIP_REPETITIONS = 200
         const val QUEUE_REPETITIONS = 5_000
         const val FIRST_SEQUENCE = 60L
-        const val WARM_MILLIS = 100_000L
+        const val WARMED_UP_MILLIS = 100_000L
         const val MILLIS_PER_SECOND = 1_000L
         const val COST_TOKENS = 500L
-        const val SAMPLES = 200
+        const val SAMPLES_PER_WORKSPACE = 200
         const val LONGEST_OUTPUT = 20_000
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/DeploymentSize.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/DeploymentSize.kt
@@ -1,6 +1,6 @@
 package io.sequoiawheel.experiment.control
 
-/** The size of a deployment for the arithmetic of control costs. */
+/** The size of a deployment, from which control costs are computed. */
 internal data class DeploymentSize(
     val daemons: Int,
     val replicas: Int,
@@ -18,10 +18,10 @@
     val streamsPerReplica: Double get() = concurrentStreams / replicas
 
     companion object {
-        /** What deployments run today. */
+        /** The size of deployments today. */
         val TODAY = DeploymentSize(6, 11, 3, 10.0, 160.0, 10, 2, 10.0)
 
-        /** The size to design for: 1.2 million tokens a second at 61 ms a token are 73,200 open streams. */
+        /** The design size: 1.2 million tokens per second at 61 ms per token are 73,200 open streams. */
         val DESIGN = DeploymentSize(340, 600, 5, 2_400.0, 73_200.0, 4_200, 13, 830.0)
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/MessageSizes.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/MessageSizes.kt
@@ -15,14 +15,14 @@
 import io.sequoiawheel.peer.generated.ReserveResponse
 import io.sequoiawheel.peer.generated.ServiceGeneration
 
-/** Serialized sizes in bytes of the messages between entry daemons, with identities of realistic length. */
+/** Serialized sizes in bytes of the messages between entry daemons, with identifiers of realistic length. */
 internal object MessageSizes {
     private const val INSTANCE = "entry-zone-a-17-mx8falqc"
     private const val REPLICA = "writers-zone-a-101-r2"
     private const val START_ID = "writers-zone-a-101-1"
     private const val REQUEST = "5e2b5005-b1a4-497c-9be1-a469f0bd7e19"
 
-    /** One reservation with its answer. */
+    /** A reservation request and its response. */
     val reserve: Int
         get() =
             ReserveRequest
@@ -45,7 +45,7 @@
                     .build()
                     .serializedSize
 
-    /** One release with the time of its first token, sent alone. */
+    /** A release that carries one finished request and its first-token time. */
     val release: Int
         get() =
             ReleaseRequest
@@ -61,7 +61,7 @@
                 .build()
                 .serializedSize
 
-    /** What one heartbeat and its answer carry once, whatever the number of replicas. */
+    /** The fixed part of a heartbeat and its response, independent of the number of replicas. */
     val heartbeatBase: Int
         get() =
             HeartbeatRequest
@@ -71,10 +71,10 @@
                 .build()
                 .serializedSize + HeartbeatResponse.getDefaultInstance().serializedSize
 
-    /** What one heartbeat and its answer carry for each replica. */
+    /** The part of a heartbeat and its response for each replica. */
     val heartbeatReplica: Int get() = registration().serializedSize + reply().serializedSize
 
-    /** One comparison of digests between equal views, with its answer. */
+    /** A digest comparison between equal views, with its response. */
     val compare: Int
         get() =
             CompareRequest
@@ -84,7 +84,7 @@
                 .setMembershipDigest(Long.MAX_VALUE)
                 .setSubtreeInstances(5)
                 .addAllLowest(
-                    List(SERVICES) {
+                    List(SERVICE_COUNT) {
                         ServiceGeneration
                             .newBuilder()
                             .setService("service-$it")
@@ -130,5 +130,5 @@
                     .setCapacityTokens(400_000),
             ).build()
 
-    private const val SERVICES = 13
+    private const val SERVICE_COUNT = 13
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/Meter.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/Meter.kt
@@ -2,13 +2,13 @@
 
 import java.lang.management.ManagementFactory
 
-/** Measures processor time of the calling thread and heap that a structure retains. */
+/** Measures the CPU time of the calling thread and the heap that an object retains. */
 internal object Meter {
     private const val NANOS_PER_MICRO = 1_000.0
-    private const val COLLECTIONS = 3
-    private val threads = ManagementFactory.getThreadMXBean()
+    private const val COLLECTION_COUNT = 3
+    private val threadBean = ManagementFactory.getThreadMXBean()
 
-    /** Returns the processor time of one call of [operation] in microseconds, after as many calls to warm up. */
+    /** Returns the CPU time per call of [operation] in microseconds, after [repetitions] warm-up calls. */
     inline fun cpuMicros(
         repetitions: Int,
         operation: (Int) -> Unit,
@@ -19,21 +19,21 @@
         return (cpuNanos() - before) / NANOS_PER_MICRO / repetitions
     }
 
-    /** Returns the bytes of heap that the result of [build] retains, measured after forced collections. */
+    /** Returns the heap bytes that the result of [build] retains, measured after forced garbage collections. */
     fun retainedBytes(build: () -> Any): Long {
         val before = usedBytes()
-        val kept = build()
+        val retained = build()
         val after = usedBytes()
-        // Keeps the structure reachable until the second reading.
-        check(kept.hashCode() != Int.MIN_VALUE || kept == kept)
+        // Keeps the object reachable until the second measurement.
+        check(retained.hashCode() != Int.MIN_VALUE || retained == retained)
         return (after - before).coerceAtLeast(0)
     }
 
-    fun cpuNanos(): Long = threads.currentThreadCpuTime
+    fun cpuNanos(): Long = threadBean.currentThreadCpuTime
 
     private fun usedBytes(): Long {
         val runtime = Runtime.getRuntime()
-        repeat(COLLECTIONS) { System.gc() }
+        repeat(COLLECTION_COUNT) { System.gc() }
         return runtime.totalMemory() - runtime.freeMemory()
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/Slope.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/control/Slope.kt
@@ -4,10 +4,10 @@
 import io.sequoiawheel.experiment.report.LinearFit
 
 /**
- * A measured quantity at several sizes.
+ * Measurements of a quantity at several sizes, with a linear fit.
  *
- * @property name what was measured, ending in its unit
- * @property per the size that was varied
+ * @property name the measured quantity, ending in its unit
+ * @property per the varied size
  */
 internal data class Slope(
     val name: String,
@@ -19,7 +19,7 @@
     /** Returns the fitted value at [size], never below zero. */
     fun at(size: Double): Double = (fit.intercept + fit.slope * size).coerceAtLeast(0.0)
 
-    /** Returns the figures for a report. */
+    /** Returns the figures of the fit for a report. */
     fun figures(): Map<String, Double> =
         mapOf(
             "$name per $per" to fit.slope,
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/EngineLossExperiment.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/EngineLossExperiment.kt
@@ -6,13 +6,13 @@
 import io.sequoiawheel.experiment.simulation.SimulatedRequest
 import io.sequoiawheel.experiment.simulation.SimulatedService
 
-/** Engines die without notice and are reclaimed at short notice. */
+/** Crashes engines without notice and reclaims engines at short notice. */
 class EngineLossExperiment : Experiment {
     override val name = "engine-loss"
     override val summary = "Engines die and are reclaimed; requests without a token move to other engines."
 
     override fun run(options: ExperimentOptions): ExperimentReport {
-        val scenario = Scenario(options, DURATION_MILLIS) { disturb(it) }
+        val scenario = Scenario(options, DURATION_MILLIS) { injectFaults(it) }
         val runs = scenario.run()
         return ExperimentReport(
             name,
@@ -23,13 +23,13 @@
         )
     }
 
-    private fun disturb(service: SimulatedService) {
+    private fun injectFaults(service: SimulatedService) {
         KILLS.forEach { (at, index) -> service.loop.schedule(at) { service.kill(service.replicas[index]) } }
         RECLAIMS.forEach { (at, index) ->
             val replica = service.replicas[index]
             service.loop.schedule(at) { service.leave(replica) }
             service.loop.schedule(at + NOTICE_MILLIS) { service.kill(replica) }
-            service.loop.schedule(at + NOTICE_MILLIS + REPLACED_MILLIS) { service.join(replica) }
+            service.loop.schedule(at + NOTICE_MILLIS + REPLACEMENT_MILLIS) { service.join(replica) }
         }
     }
 
@@ -39,7 +39,7 @@
                 "failedWithoutToken" to failedWithoutToken(run).toDouble(),
                 "interrupted" to run.requests.count { isFailed(it) && it.produced > 0 }.toDouble(),
                 "lastWorkAfterNoticeMillis" to lastWorkAfterNotice(run),
-                "refusedWithRoom" to run.refusedWithRoom.toDouble(),
+                "refusedWithRoom" to run.refusedDespiteCapacity.toDouble(),
             )
 
     private fun isFailed(request: SimulatedRequest) = request.state == SimulatedRequest.State.FAILED
@@ -48,7 +48,7 @@
 
     private fun lastWorkAfterNotice(run: ScenarioRun): Double =
         RECLAIMS.maxOf { (at, index) ->
-            val span = at..at + NOTICE_MILLIS + REPLACED_MILLIS
+            val span = at..at + NOTICE_MILLIS + REPLACEMENT_MILLIS
             val last = run.dispatches.lastOrNull { it.replica.index == index && it.atMillis in span }
             last?.let { it.atMillis - at } ?: 0.0
         }
@@ -58,9 +58,9 @@
         val last = lastWorkAfterNotice(run)
         return listOfNotNull(
             "$failed requests failed before their first token although other replicas lived".takeIf { failed > 0 },
-            "a leaving replica got new work $last ms after its notice".takeIf { last > NO_NEW_WORK_MILLIS },
-            "${run.refusedWithRoom} requests were refused although a replica had room".takeIf {
-                run.refusedWithRoom > 0
+            "a leaving replica got new work $last ms after its notice".takeIf { last > NEW_WORK_LIMIT_MILLIS },
+            "${run.refusedDespiteCapacity} requests were refused although a replica had room".takeIf {
+                run.refusedDespiteCapacity > 0
             },
         )
     }
@@ -68,15 +68,15 @@
     private companion object {
         const val DURATION_MILLIS = 300_000.0
         const val NOTICE_MILLIS = 30_000.0
-        const val REPLACED_MILLIS = 20_000.0
+        const val REPLACEMENT_MILLIS = 20_000.0
 
-        /** "After a few seconds" of promise P7. */
-        const val NO_NEW_WORK_MILLIS = 5_000.0
+        /** Limit for "after a few seconds" in promise P7. */
+        const val NEW_WORK_LIMIT_MILLIS = 5_000.0
 
-        /** When which engine dies without notice. */
+        /** Engine crashes without notice: time in milliseconds and replica index. */
         val KILLS = listOf(80_000.0 to 1, 140_000.0 to 6, 141_000.0 to 2)
 
-        /** When which engine gets notice that it is reclaimed. */
+        /** Reclaim notices: time in milliseconds and replica index. */
         val RECLAIMS = listOf(100_000.0 to 0, 180_000.0 to 7)
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/GrantedPolicy.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/GrantBasedPolicy.kt
@@ -23,87 +23,88 @@
 import io.sequoiawheel.experiment.simulation.SimulatedService
 
 /**
- * The system's own policy: entry instances choose by the granting instances' views and send only what was granted. What
- * finds no room waits at its entry instance, in order of arrival.
+ * The system's own policy: entry instances choose replicas by the granting instances' views and dispatch a request only
+ * after a grant. Requests that no replica has capacity for wait at their entry instance in order of arrival.
  *
- * @param onDispatch called with each dispatch
- * @param onRefuse called before each refusal with the number of replicas that had room for the request
+ * @param onDispatch called for each dispatch
+ * @param onRefuse called before each refusal with the number of replicas that had capacity for the request
  */
-internal class GrantedPolicy(
+internal class GrantBasedPolicy(
     private val onDispatch: (SimulatedRequest, SimulatedReplica) -> Unit,
     private val onRefuse: (SimulatedRequest, Int) -> Unit,
 ) : DispatchPolicy {
     override val name = ExperimentReport.OWN_POLICY
 
-    private val lengths = LengthEstimator()
+    private val lengthEstimator = LengthEstimator()
     private val keys = HashMap<RequestId, LengthKey>()
     private val ejectors = HashMap<Int, Ejector>()
-    private val waiting = HashMap<Int, ArrayDeque<Waiting>>()
-    private val asking = HashSet<Int>()
+    private val queues = HashMap<Int, ArrayDeque<PendingRequest>>()
+    private val reservingEntries = HashSet<Int>()
 
-    /** Replicas that could not be reached or were lost, by the request that found out. */
-    private val lost = HashMap<SimulatedRequest, MutableSet<InstanceId>>()
-    private val dispatched = LinkedHashMap<SimulatedRequest, Double>()
+    /** Replicas that failed or could not be reached, by the request that was returned from them. */
+    private val failedReplicas = HashMap<SimulatedRequest, MutableSet<InstanceId>>()
+    private val dispatchTimes = LinkedHashMap<SimulatedRequest, Double>()
     private lateinit var service: SimulatedService
-    private lateinit var grants: Map<InstanceId, ReplicaGrants>
+    private lateinit var grantsByReplica: Map<InstanceId, ReplicaGrants>
     private lateinit var chooser: ReplicaChooser
 
-    private class Waiting(
+    private class PendingRequest(
         val request: SimulatedRequest,
         val sinceMillis: Double,
         val excluded: MutableSet<InstanceId> = HashSet(),
-        var hasAskedAll: Boolean = false,
+        var hasTriedAll: Boolean = false,
     ) {
-        /** Replicas that had no room when they were asked last, half a round trip before a refusal. */
-        val full: MutableSet<InstanceId> = HashSet()
+        /** Replicas without capacity at the last reservation attempt, half a round trip before a refusal. */
+        val replicasWithoutCapacity: MutableSet<InstanceId> = HashSet()
     }
 
     override fun start(service: SimulatedService) {
         this.service = service
         chooser = ReplicaChooser(service.random)
         val correction = LengthCorrection { predict(it.request, it.producedTokens.toInt()) }
-        grants = service.replicas.map { ReplicaGrants(service, it, correction) }.associateBy { it.id }
-        grants.values.forEach { it.start() }
-        service.loop.repeat(RETRY_MILLIS) { for (entry in 0 until service.topology.entries) drain(entry) }
-        service.loop.repeat(OBSERVE_MILLIS) { observeFirstTokens() }
+        grantsByReplica = service.replicas.map { ReplicaGrants(service, it, correction) }.associateBy { it.id }
+        grantsByReplica.values.forEach { it.start() }
+        service.loop.repeat(RETRY_INTERVAL_MILLIS) { for (entry in 0 until service.topology.entries) drain(entry) }
+        service.loop.repeat(OBSERVE_INTERVAL_MILLIS) { observeFirstTokens() }
     }
 
     override fun place(request: SimulatedRequest) {
         val arrival = request.arrival
         keys[arrival.request.generation] = LengthKey(SERVICE, arrival.workspace, arrival.kind)
-        val queue = waiting.getOrPut(arrival.entry) { ArrayDeque() }
-        val newcomer = Waiting(request, arrival.atMillis)
-        newcomer.excluded += lost[request].orEmpty()
-        queue.addLast(newcomer)
+        val queue = queues.getOrPut(arrival.entry) { ArrayDeque() }
+        val pending = PendingRequest(request, arrival.atMillis)
+        pending.excluded += failedReplicas[request].orEmpty()
+        queue.addLast(pending)
         if (queue.size == 1) drain(arrival.entry)
     }
 
-    override fun ended(request: SimulatedRequest) {
+    override fun onEnded(request: SimulatedRequest) {
         if (request.state == SimulatedRequest.State.DONE) {
-            keys[request.arrival.request.generation]?.let { lengths.record(it, request.produced) }
+            keys[request.arrival.request.generation]?.let { lengthEstimator.record(it, request.produced) }
             ejector(request).recordSuccess(grantsOf(request).id)
         }
-        if (request.state == SimulatedRequest.State.FAILED) lostBy(request)
-        lost.remove(request)
+        if (request.state == SimulatedRequest.State.FAILED) recordFailure(request)
+        failedReplicas.remove(request)
         release(request)
     }
 
-    override fun returned(
+    override fun onReturned(
         request: SimulatedRequest,
         failure: Failure,
     ) {
-        lostBy(request)
-        lost.getOrPut(request) { HashSet() } += grantsOf(request).id
+        recordFailure(request)
+        failedReplicas.getOrPut(request) { HashSet() } += grantsOf(request).id
         release(request)
     }
 
-    private fun lostBy(request: SimulatedRequest) {
+    private fun recordFailure(request: SimulatedRequest) {
         ejector(request).recordFailure(grantsOf(request).id, service.loop.nowMillis)
     }
 
     private fun ejector(request: SimulatedRequest) = ejectors.getOrPut(request.arrival.entry) { Ejector() }
 
-    private fun grantsOf(request: SimulatedRequest) = grants.getValue(InstanceId("replica-${request.replica!!.index}"))
+    private fun grantsOf(request: SimulatedRequest) =
+        grantsByReplica.getValue(InstanceId("replica-${request.replica!!.index}"))
 
     private fun release(request: SimulatedRequest) {
         val replica = grantsOf(request)
@@ -119,7 +120,7 @@
     }
 
     private fun observeFirstTokens() {
-        dispatched.keys
+        dispatchTimes.keys
             .filter { it.produced > 0 }
             .forEach { observe(it, grantsOf(it)) }
     }
@@ -128,37 +129,42 @@
         request: SimulatedRequest,
         replica: ReplicaGrants,
     ) {
-        val since = dispatched.remove(request) ?: return
+        val dispatchMillis = dispatchTimes.remove(request) ?: return
         if (request.produced == 0) return
-        replica.ledger.recordFirstToken((request.firstTokenAt - since).toLong(), service.loop.nowMillis)
+        replica.ledger.recordFirstToken((request.firstTokenAt - dispatchMillis).toLong(), service.loop.nowMillis)
     }
 
     private fun drain(entry: Int) {
-        if (entry in asking) return
-        val queue = waiting[entry] ?: return
+        if (entry in reservingEntries) return
+        val queue = queues[entry] ?: return
         while (queue.isNotEmpty()) {
             val head = queue.first()
             if (head.request.state == SimulatedRequest.State.PENDING) {
                 when {
-                    !isExpired(head) -> return ask(entry, head)
-                    !head.hasAskedAll -> return askEverywhere(entry, head)
-                    else -> giveUp(head)
+                    !isExpired(head) -> return tryReserve(entry, head)
+                    !head.hasTriedAll -> return tryReserveEverywhere(entry, head)
+                    else -> refuseExpired(head)
                 }
             }
             queue.remove(head)
         }
     }
 
-    private fun giveUp(head: Waiting) {
+    private fun refuseExpired(head: PendingRequest) {
         val reservation = reservation(head.request)
-        val room = grants.values.count { it.id !in head.full && isOpen(it) && hasRoom(it, reservation) }
-        onRefuse(head.request, room)
+        val replicasWithCapacity =
+            grantsByReplica.values.count {
+                it.id !in head.replicasWithoutCapacity &&
+                    isEligible(it) &&
+                    hasCapacity(it, reservation)
+            }
+        onRefuse(head.request, replicasWithCapacity)
         service.refuse(head.request, Failure(ResultCode.QUEUE_TIMEOUT, retryAfterMillis = RETRY_AFTER_MILLIS))
     }
 
-    private fun isOpen(replica: ReplicaGrants) = replica.replica in service.eligibleReplicas()
+    private fun isEligible(replica: ReplicaGrants) = replica.replica in service.eligibleReplicas()
 
-    private fun hasRoom(
+    private fun hasCapacity(
         replica: ReplicaGrants,
         reservation: Reservation,
     ): Boolean {
@@ -166,82 +172,83 @@
         return state.freeRequests > 0 && state.freeTokens >= reservation.capacity.tokens
     }
 
-    private fun ask(
+    private fun tryReserve(
         entry: Int,
-        head: Waiting,
+        head: PendingRequest,
     ) {
         val now = service.loop.nowMillis
         val reservation = reservation(head.request)
-        val need =
+        val requirements =
             ReplicaRequirements(
                 ZoneName(service.topology.zoneOf(entry)),
                 reservation.capacity.tokens,
                 reservation.promptTokens,
                 head.excluded,
             )
-        val views = grants.values.mapNotNull { view(it, entry) }
-        val chosen = chooser.choose(views, need)?.let { grants.getValue(it.replica) }
+        val views = grantsByReplica.values.mapNotNull { view(it, entry) }
+        val chosen = chooser.choose(views, requirements)?.let { grantsByReplica.getValue(it.replica) }
         val ticket = chosen?.clients?.get(entry)?.issueTicket(reservation.request, now)
         if (chosen == null || ticket == null) {
             head.excluded.clear()
             return
         }
-        waiting.getValue(entry).remove(head)
-        asking += entry
+        queues.getValue(entry).remove(head)
+        reservingEntries += entry
         service.loop.schedule(chosen.delayMillis(entry)) {
             val result = chosen.ledger.reserve(ReplicaGrants.entryId(entry), reservation, service.loop.nowMillis)
             service.loop.schedule(chosen.delayMillis(entry)) {
-                asking -= entry
-                val mayUse = settle(chosen, entry, reservation, ticket, result)
-                if (mayUse) dispatch(head.request, chosen) else back(entry, head, chosen)
+                reservingEntries -= entry
+                val isUsable = recordResult(chosen, entry, reservation, ticket, result)
+                if (isUsable) dispatch(head.request, chosen) else requeue(entry, head, chosen)
             }
         }
     }
 
-    private fun back(
+    private fun requeue(
         entry: Int,
-        head: Waiting,
-        refused: ReplicaGrants,
+        head: PendingRequest,
+        refusingReplica: ReplicaGrants,
     ) {
-        waiting.getValue(entry).addFirst(head)
-        head.excluded += refused.id
-        if (head.excluded.size <= MAXIMUM_ASKED || isExpired(head)) drain(entry) else head.excluded.clear()
+        queues.getValue(entry).addFirst(head)
+        head.excluded += refusingReplica.id
+        if (head.excluded.size <= MAXIMUM_RESERVE_ATTEMPTS || isExpired(head)) drain(entry) else head.excluded.clear()
     }
 
     /**
-     * Asks every replica at once before a request is refused for its wait. Asked one after the other, a replica that
-     * was asked early may have room by the time the last one answers; and views may lack one that has just returned.
+     * Tries to reserve at every replica in parallel before a request is refused because it waited too long. With
+     * sequential attempts, an early replica may have capacity again by the time the last one answers. The views may
+     * also lack a replica that has just returned.
      */
-    private fun askEverywhere(
+    private fun tryReserveEverywhere(
         entry: Int,
-        head: Waiting,
+        head: PendingRequest,
     ) {
-        head.hasAskedAll = true
+        head.hasTriedAll = true
         val reservation = reservation(head.request)
         val now = service.loop.nowMillis
         val tickets =
-            grants.values.filter(::isOpen).mapNotNull { replica ->
+            grantsByReplica.values.filter(::isEligible).mapNotNull { replica ->
                 replica.clients[entry].issueTicket(reservation.request, now)?.let { replica to it }
             }
         if (tickets.isEmpty()) return drain(entry)
-        waiting.getValue(entry).remove(head)
-        asking += entry
-        var unanswered = tickets.size
+        queues.getValue(entry).remove(head)
+        reservingEntries += entry
+        var unansweredCount = tickets.size
         var isDispatched = false
         for ((replica, ticket) in tickets) {
             service.loop.schedule(replica.delayMillis(entry)) {
                 val result = replica.ledger.reserve(ReplicaGrants.entryId(entry), reservation, service.loop.nowMillis)
-                if (!hasRoom(replica, reservation)) head.full += replica.id
+                if (!hasCapacity(replica, reservation)) head.replicasWithoutCapacity += replica.id
                 service.loop.schedule(replica.delayMillis(entry)) {
-                    val mayUse = settle(replica, entry, reservation, ticket, result)
-                    if (mayUse && isDispatched) giveBack(replica, entry, reservation)
-                    if (mayUse && !isDispatched) {
+                    val isUsable = recordResult(replica, entry, reservation, ticket, result)
+                    if (isUsable && isDispatched) cancelReservation(replica, entry, reservation)
+                    if (isUsable && !isDispatched) {
                         isDispatched = true
                         dispatch(head.request, replica)
                     }
-                    if (--unanswered == 0) {
-                        asking -= entry
-                        if (!isDispatched) waiting.getValue(entry).addFirst(head)
+                    if (--unansweredCount == 0) {
+                        reservingEntries -= entry
+                        if (!isDispatched) queues.getValue(entry).addFirst(head)
                         drain(entry)
                     }
                 }
@@ -249,8 +256,8 @@
         }
     }
 
-    /** Records the answer of [replica]'s ledger. Returns whether the room may be used. */
-    private fun settle(
+    /** Records the answer of [replica]'s ledger. Returns whether the reservation may be used. */
+    private fun recordResult(
         replica: ReplicaGrants,
         entry: Int,
         reservation: Reservation,
@@ -262,7 +269,7 @@
         return result == ReserveResult.GRANTED && client.acceptGrant(reservation, ticket, service.loop.nowMillis)
     }
 
-    private fun giveBack(
+    private fun cancelReservation(
         replica: ReplicaGrants,
         entry: Int,
         reservation: Reservation,
@@ -273,7 +280,7 @@
         }
     }
 
-    private fun isExpired(head: Waiting): Boolean = service.loop.now - head.sinceMillis >= MAXIMUM_WAIT_MILLIS
+    private fun isExpired(head: PendingRequest): Boolean = service.loop.now - head.sinceMillis >= MAXIMUM_WAIT_MILLIS
 
     private fun dispatch(
         request: SimulatedRequest,
@@ -284,7 +291,7 @@
             chosen.clients[entry].onFinished(request.arrival.request.generation)
             return chosen.ledger.release(ReplicaGrants.entryId(entry), request.arrival.request.generation)
         }
-        dispatched[request] = service.loop.now
+        dispatchTimes[request] = service.loop.now
         onDispatch(request, chosen.replica)
         service.dispatch(request, chosen.replica)
         drain(request.arrival.entry)
@@ -299,7 +306,7 @@
         return ReplicaView(
             replica.id,
             ZoneName(replica.replica.zone),
-            eligible = isOpen(replica) && state.reachable && !isEjected,
+            eligible = isEligible(replica) && state.reachable && !isEjected,
             freeTokens = state.freeTokens,
             capacityTokens =
                 service.topology.engine.memoryTokens
@@ -323,16 +330,16 @@
         produced: Int,
     ): Long {
         val key = keys[request] ?: return produced + 1L
-        return lengths.quantile(key, produced, QUANTILE).toLong()
+        return lengthEstimator.quantile(key, produced, LENGTH_QUANTILE).toLong()
     }
 
     private companion object {
         val SERVICE = ServiceName("wheel-writers")
-        const val QUANTILE = 0.6
-        const val RETRY_MILLIS = 50.0
-        const val OBSERVE_MILLIS = 200.0
+        const val LENGTH_QUANTILE = 0.6
+        const val RETRY_INTERVAL_MILLIS = 50.0
+        const val OBSERVE_INTERVAL_MILLIS = 200.0
         const val MAXIMUM_WAIT_MILLIS = 30_000.0
         const val RETRY_AFTER_MILLIS = 2_000L
-        const val MAXIMUM_ASKED = 3
+        const val MAXIMUM_RESERVE_ATTEMPTS = 3
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/ReplicaGrants.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/ReplicaGrants.kt
@@ -16,8 +16,8 @@
 import io.sequoiawheel.experiment.simulation.SimulatedService
 
 /**
- * The ledger of one replica at its granting instance and the clients of all entry instances, connected by messages with
- * the topology's delay.
+ * Simulates the ledger of one replica at its granting instance and the grant clients of all entry instances. Messages
+ * between them take the topology's delay.
  */
 internal class ReplicaGrants(
     private val service: SimulatedService,
@@ -27,28 +27,30 @@
     val id = InstanceId("replica-${replica.index}")
     private val entries = (0 until service.topology.entries).toList()
     private val members = entries.filter { service.topology.zoneOf(it) == replica.zone }.associateBy { entryId(it) }
-    private val safety = SafetyFactor()
-    val granting: Int = members.getValue(RendezvousHashing.first(id.value, members.keys)!!)
+    private val safetyFactor = SafetyFactor()
+    val grantingEntry: Int = members.getValue(RendezvousHashing.first(id.value, members.keys)!!)
     val clients = entries.map { GrantClient(entryId(it)) }
     val ledger =
         GrantLedger(
             id,
-            entryId(granting),
+            entryId(grantingEntry),
             ColdStartPolicy(),
-            PREDICTED_PEAK,
+            PEAK_ESTIMATOR,
             correction,
-            capacity = { report, now -> (report.memoryCapacityTokens * safety.value(now)).toLong() },
+            capacity = { report, now -> (report.memoryCapacityTokens * safetyFactor.value(now)).toLong() },
         )
 
     fun start() {
-        service.loop.repeat(POLL_MILLIS, service.random.nextDouble() * POLL_MILLIS) { poll() }
+        service.loop.repeat(POLL_INTERVAL_MILLIS, service.random.nextDouble() * POLL_INTERVAL_MILLIS) { poll() }
         entries.forEach { entry ->
-            service.loop.repeat(HEARTBEAT_MILLIS, service.random.nextDouble() * HEARTBEAT_MILLIS) { beat(entry) }
+            service.loop.repeat(HEARTBEAT_INTERVAL_MILLIS, service.random.nextDouble() * HEARTBEAT_INTERVAL_MILLIS) {
+                sendHeartbeat(entry)
+            }
         }
     }
 
-    /** Delay of a message between [entry] and the granting instance. */
-    fun delayMillis(entry: Int): Double = if (entry == granting) 0.0 else service.topology.oneWayMillis
+    /** Returns the one-way delay of a message between [entry] and the granting instance. */
+    fun delayMillis(entry: Int): Double = if (entry == grantingEntry) 0.0 else service.topology.oneWayMillis
 
     private fun poll() {
         val now = service.loop.nowMillis
@@ -58,30 +60,30 @@
         if (report == null) {
             ledger.markUnreachable()
         } else {
-            safety.report(report.startId, report.preemptions, now)
+            safetyFactor.report(report.startId, report.preemptions, now)
             ledger.report(report, now)
         }
     }
 
-    private fun beat(entry: Int) {
+    private fun sendHeartbeat(entry: Int) {
         val client = clients[entry]
-        val (_, heartbeat) = client.nextHeartbeat(entryId(granting), service.loop.nowMillis)
+        val (_, heartbeat) = client.nextHeartbeat(entryId(grantingEntry), service.loop.nowMillis)
         service.loop.schedule(delayMillis(entry)) {
             val answer = ledger.heartbeat(heartbeat, service.loop.nowMillis)
             service.loop.schedule(delayMillis(entry)) {
-                client.onAnswer(entryId(granting), answer, service.loop.nowMillis)
-                if (heartbeat.echo == 0L && answer.isResponsible) beat(entry)
+                client.onAnswer(entryId(grantingEntry), answer, service.loop.nowMillis)
+                if (heartbeat.echo == 0L && answer.isResponsible) sendHeartbeat(entry)
             }
         }
     }
 
     companion object {
-        private const val POLL_MILLIS = 500.0
-        private const val HEARTBEAT_MILLIS = 1_000.0
+        private const val POLL_INTERVAL_MILLIS = 500.0
+        private const val HEARTBEAT_INTERVAL_MILLIS = 1_000.0
 
         fun entryId(entry: Int) = InstanceId("entry-$entry")
 
-        private val PREDICTED_PEAK =
+        private val PEAK_ESTIMATOR =
             PeakEstimator { reservations ->
                 MemoryPredictor.peakTokens(
                     reservations.map {
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/Scenario.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/Scenario.kt
@@ -11,13 +11,13 @@
 import io.sequoiawheel.experiment.simulation.Topology
 import io.sequoiawheel.experiment.simulation.Workload
 
-/** What one run of a policy left behind. */
+/** The results of one run of a policy. */
 internal class ScenarioRun(
     val service: SimulatedService,
     val measures: Measures,
     val requests: List<SimulatedRequest>,
     val dispatches: List<Dispatch>,
-    val refusedWithRoom: Int,
+    val refusedDespiteCapacity: Int,
 ) {
     class Dispatch(
         val atMillis: Double,
@@ -25,28 +25,28 @@
         val replica: SimulatedReplica,
     )
 
-    /** Figures of the requests that arrived in [span]. */
-    fun phase(
+    /** Returns the figures of the requests that arrived in [span], each name starting with [label]. */
+    fun phaseFigures(
         label: String,
         span: ClosedFloatingPointRange<Double>,
     ): Map<String, Double> {
-        val part = requests.filter { it.arrival.atMillis in span }
-        val waits = part.filter { it.produced > 0 }.map { it.firstTokenAt - it.arrival.atMillis }.sorted()
-        val done = part.count { it.state == SimulatedRequest.State.DONE }
+        val arrived = requests.filter { it.arrival.atMillis in span }
+        val firstTokenDelays = arrived.filter { it.produced > 0 }.map { it.firstTokenAt - it.arrival.atMillis }.sorted()
+        val done = arrived.count { it.state == SimulatedRequest.State.DONE }
         return mapOf(
-            "${label}CompletedShare" to done.toDouble() / part.size.coerceAtLeast(1),
-            "${label}FirstTokenP95Millis" to (waits.getOrNull(waits.size * 95 / 100) ?: 0.0),
-            "${label}StallTotalMillis" to part.sumOf { it.stallMillis },
+            "${label}CompletedShare" to done.toDouble() / arrived.size.coerceAtLeast(1),
+            "${label}FirstTokenP95Millis" to (firstTokenDelays.getOrNull(firstTokenDelays.size * 95 / 100) ?: 0.0),
+            "${label}StallTotalMillis" to arrived.sumOf { it.stallMillis },
         )
     }
 }
 
-/** Runs the own policy and the baselines on the same arrivals and the same [disturbance]. */
+/** Runs the system's own policy and the baselines with the same arrivals and the same [scheduleFaults]. */
 internal class Scenario(
     private val options: ExperimentOptions,
     private val durationMillis: Double,
     private val topology: Topology = Topology(),
-    private val disturbance: (SimulatedService) -> Unit,
+    private val scheduleFaults: (SimulatedService) -> Unit,
 ) {
     private val workload = Workload()
 
@@ -55,10 +55,13 @@
 
     private val arrivals = workload.arrivals(options.seed, ratePerSecond, durationMillis, topology.entries)
 
-    /** Returns the runs by policy name, the own policy first. */
+    /** Returns the runs by policy name, the system's own policy first. */
     fun run(): Map<String, ScenarioRun> {
         val observer = Observer()
-        val own = GrantedPolicy(observer::dispatched) { _, room -> if (room > 0) observer.refusedWithRoom++ }
+        val own =
+            GrantBasedPolicy(observer::recordDispatch) { _, replicasWithCapacity ->
+                if (replicasWithCapacity > 0) observer.refusedDespiteCapacity++
+            }
         val runs = LinkedHashMap<String, ScenarioRun>()
         runs[own.name] = run(own, observer)
         Policies.baselines().forEach { runs[it.name] = run(it, Observer()) }
@@ -72,18 +75,18 @@
         val observed = ObservedPolicy(policy, observer)
         val service = SimulatedService(topology, observed, workload.lengths(options.seed), options.seed)
         observer.service = service
-        disturbance(service)
+        scheduleFaults(service)
         val measures = service.run(arrivals, durationMillis, DRAIN_MILLIS)
-        return ScenarioRun(service, measures, observer.requests, observer.dispatches, observer.refusedWithRoom)
+        return ScenarioRun(service, measures, observer.requests, observer.dispatches, observer.refusedDespiteCapacity)
     }
 
     private class Observer {
         lateinit var service: SimulatedService
         val requests = ArrayList<SimulatedRequest>()
         val dispatches = ArrayList<ScenarioRun.Dispatch>()
-        var refusedWithRoom = 0
+        var refusedDespiteCapacity = 0
 
-        fun dispatched(
+        fun recordDispatch(
             request: SimulatedRequest,
             replica: SimulatedReplica,
         ) {
@@ -91,7 +94,7 @@
         }
     }
 
-    /** Records the requests of [inner] and, for policies that dispatch at once, its dispatches. */
+    /** Records the requests of [inner] and, for policies that dispatch immediately, its dispatches. */
     private class ObservedPolicy(
         private val inner: DispatchPolicy,
         private val observer: Observer,
@@ -100,13 +103,13 @@
             if (request.attempts == 0) observer.requests += request
             inner.place(request)
             val replica = request.replica
-            val isImmediate = inner !is GrantedPolicy && request.state == SimulatedRequest.State.DISPATCHED
-            if (isImmediate && replica != null) observer.dispatched(request, replica)
+            val isImmediate = inner !is GrantBasedPolicy && request.state == SimulatedRequest.State.DISPATCHED
+            if (isImmediate && replica != null) observer.recordDispatch(request, replica)
         }
     }
 
     private companion object {
-        /** Long enough for the longest outputs. */
+        /** Time for the longest outputs to finish after the last arrival. */
         const val DRAIN_MILLIS = 200_000.0
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/ZoneChangeExperiment.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/grants/ZoneChangeExperiment.kt
@@ -5,7 +5,7 @@
 import io.sequoiawheel.experiment.ExperimentReport
 import io.sequoiawheel.experiment.simulation.SimulatedRequest
 
-/** A zone is taken out of service at short notice and comes back. */
+/** Takes a zone out of service at short notice and returns it to service. */
 class ZoneChangeExperiment : Experiment {
     override val name = "zone-change"
     override val summary = "A zone is taken out and comes back; no request fails that had somewhere to go."
@@ -13,8 +13,12 @@
     override fun run(options: ExperimentOptions): ExperimentReport {
         val scenario =
             Scenario(options, DURATION_MILLIS) { service ->
-                service.loop.schedule(OUT_MILLIS + IN_FORCE_MILLIS) { service.setZoneOut(ZONE, true) }
-                service.loop.schedule(BACK_MILLIS + IN_FORCE_MILLIS) { service.setZoneOut(ZONE, false) }
+                service.loop.schedule(
+                    TAKE_OUT_MILLIS + PROPAGATION_DELAY_MILLIS,
+                ) { service.setZoneOutOfService(ZONE, true) }
+                service.loop.schedule(
+                    RETURN_MILLIS + PROPAGATION_DELAY_MILLIS,
+                ) { service.setZoneOutOfService(ZONE, false) }
             }
         val runs = scenario.run()
         return ExperimentReport(
@@ -28,46 +32,50 @@
 
     private fun figures(run: ScenarioRun): Map<String, Double> =
         run.measures.figures() +
-            run.phase("before", WARM_MILLIS..OUT_MILLIS) +
-            run.phase("during", OUT_MILLIS..BACK_MILLIS) +
-            run.phase("after", BACK_MILLIS..DURATION_MILLIS) +
+            run.phaseFigures("before", WARM_UP_MILLIS..TAKE_OUT_MILLIS) +
+            run.phaseFigures("during", TAKE_OUT_MILLIS..RETURN_MILLIS) +
+            run.phaseFigures("after", RETURN_MILLIS..DURATION_MILLIS) +
             mapOf(
-                "lastNewWorkAfterTakeOutMillis" to lastNewWork(run),
-                "firstNewWorkAfterReturnMillis" to firstNewWork(run),
-                "refusedWithRoom" to run.refusedWithRoom.toDouble(),
+                "lastNewWorkAfterTakeOutMillis" to lastNewWorkMillis(run),
+                "firstNewWorkAfterReturnMillis" to firstNewWorkMillis(run),
+                "refusedWithRoom" to run.refusedDespiteCapacity.toDouble(),
             )
 
-    private fun intoZone(run: ScenarioRun) = run.dispatches.filter { it.replica.zone == ZONE }
+    private fun dispatchesIntoZone(run: ScenarioRun) = run.dispatches.filter { it.replica.zone == ZONE }
 
-    private fun lastNewWork(run: ScenarioRun): Double =
-        intoZone(run).lastOrNull { it.atMillis in OUT_MILLIS..BACK_MILLIS }?.let { it.atMillis - OUT_MILLIS } ?: 0.0
+    private fun lastNewWorkMillis(run: ScenarioRun): Double =
+        dispatchesIntoZone(run).lastOrNull { it.atMillis in TAKE_OUT_MILLIS..RETURN_MILLIS }?.let {
+            it.atMillis -
+                TAKE_OUT_MILLIS
+        }
+            ?: 0.0
 
-    private fun firstNewWork(run: ScenarioRun): Double =
-        intoZone(run).firstOrNull { it.atMillis > BACK_MILLIS }?.let { it.atMillis - BACK_MILLIS } ?: -1.0
+    private fun firstNewWorkMillis(run: ScenarioRun): Double =
+        dispatchesIntoZone(run).firstOrNull { it.atMillis > RETURN_MILLIS }?.let { it.atMillis - RETURN_MILLIS } ?: -1.0
 
     private fun violations(run: ScenarioRun): List<String> {
-        val last = lastNewWork(run)
+        val last = lastNewWorkMillis(run)
         val failed = run.requests.count { it.state == SimulatedRequest.State.FAILED }
         return listOfNotNull(
-            "new work reached the zone $last ms after it was taken out".takeIf { last > NO_NEW_WORK_MILLIS },
+            "new work reached the zone $last ms after it was taken out".takeIf { last > NEW_WORK_LIMIT_MILLIS },
             "$failed requests failed although no replica did".takeIf { failed > 0 },
-            "${run.refusedWithRoom} requests were refused although a replica had room".takeIf {
-                run.refusedWithRoom > 0
+            "${run.refusedDespiteCapacity} requests were refused although a replica had room".takeIf {
+                run.refusedDespiteCapacity > 0
             },
         )
     }
 
     private companion object {
         const val ZONE = "colombo-b"
-        const val WARM_MILLIS = 60_000.0
-        const val OUT_MILLIS = 120_000.0
-        const val BACK_MILLIS = 200_000.0
+        const val WARM_UP_MILLIS = 60_000.0
+        const val TAKE_OUT_MILLIS = 120_000.0
+        const val RETURN_MILLIS = 200_000.0
         const val DURATION_MILLIS = 300_000.0
 
-        /** From the operator's change until it is in force at all entry instances. */
-        const val IN_FORCE_MILLIS = 2_000.0
+        /** Delay from the operator's change until it is in force at all entry instances. */
+        const val PROPAGATION_DELAY_MILLIS = 2_000.0
 
-        /** "After a few seconds" of promise P3. */
-        const val NO_NEW_WORK_MILLIS = 5_000.0
+        /** Limit for "after a few seconds" in promise P3. */
+        const val NEW_WORK_LIMIT_MILLIS = 5_000.0
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/outage/OutagePolicy.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/outage/OutagePolicy.kt
@@ -1,17 +1,17 @@
 package io.sequoiawheel.experiment.outage
 
-/** How the fleet meets an object API that does not answer. */
+/** How instances watch the object API and retry when it does not respond. */
 internal enum class OutagePolicy(
     val label: String,
-    val watchesEverywhere: Boolean,
-    val backsOff: Boolean,
+    val allInstancesWatch: Boolean,
+    val usesBackoff: Boolean,
 ) {
-    /** Two watchers a zone, full-jitter back-off up to 20 s. */
-    OWN("sequoiawheel", watchesEverywhere = false, backsOff = true),
+    /** Two watchers per zone with full-jitter backoff up to 20 s. */
+    OWN("sequoiawheel", allInstancesWatch = false, usesBackoff = true),
 
-    /** Two watchers a zone that try again every second. */
-    FIXED_RETRY("fixed-retry", watchesEverywhere = false, backsOff = false),
+    /** Two watchers per zone that retry every second. */
+    FIXED_RETRY("fixed-retry", allInstancesWatch = false, usesBackoff = false),
 
-    /** Every instance watches, and tries again every second. */
-    EVERY_INSTANCE("every-instance-watches", watchesEverywhere = true, backsOff = false),
+    /** Every instance watches and retries every second. */
+    EVERY_INSTANCE("every-instance-watches", allInstancesWatch = true, usesBackoff = false),
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/ImmediatePolicy.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/ImmediatePolicy.kt
@@ -7,20 +7,20 @@
 import io.sequoiawheel.experiment.simulation.SimulatedRequest
 import io.sequoiawheel.experiment.simulation.SimulatedService
 
-/** Base of the baselines: every request is sent at once; the replicas' own queues hold what does not fit. */
+/** Base class of the baselines: dispatches every request immediately, so that excess requests queue at the replicas. */
 abstract class ImmediatePolicy : DispatchPolicy {
     /** The service of this run. */
     protected lateinit var service: SimulatedService
         private set
 
-    /** Chooses among [replicas], which is not empty. */
+    /** Chooses one of [replicas], which is not empty. */
     protected abstract fun choose(
         request: SimulatedRequest,
         replicas: List<SimulatedReplica>,
     ): SimulatedReplica
 
-    /** Called with each dispatch. */
-    protected open fun dispatched(
+    /** Called before each dispatch. */
+    protected open fun onDispatch(
         request: SimulatedRequest,
         replica: SimulatedReplica,
     ) = Unit
@@ -33,7 +33,7 @@
         val replicas = service.eligibleReplicas()
         if (replicas.isEmpty()) return service.refuse(request, Failure(ResultCode.NO_REPLICA))
         val replica = choose(request, replicas)
-        dispatched(request, replica)
+        onDispatch(request, replica)
         service.dispatch(request, replica)
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/LeastOutstandingPolicy.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/LeastOutstandingPolicy.kt
@@ -4,7 +4,7 @@
 import io.sequoiawheel.experiment.simulation.SimulatedReplica
 import io.sequoiawheel.experiment.simulation.SimulatedRequest
 
-/** Each entry instance sends to the replica with the fewest of its own requests; ties are broken at random. */
+/** Sends to the replica with the fewest outstanding requests of the same entry instance; breaks ties at random. */
 class LeastOutstandingPolicy : ImmediatePolicy() {
     override val name = "least-outstanding"
 
@@ -19,14 +19,14 @@
         return candidates[service.random.nextInt(candidates.size)]
     }
 
-    override fun dispatched(
+    override fun onDispatch(
         request: SimulatedRequest,
         replica: SimulatedReplica,
     ) = counts.add(request, replica, 1)
 
-    override fun ended(request: SimulatedRequest) = counts.add(request, request.replica!!, -1)
+    override fun onEnded(request: SimulatedRequest) = counts.add(request, request.replica!!, -1)
 
-    override fun returned(
+    override fun onReturned(
         request: SimulatedRequest,
         failure: Failure,
     ) = counts.add(request, request.replica!!, -1)
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/LeastReportedLoadPolicy.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/LeastReportedLoadPolicy.kt
@@ -4,7 +4,7 @@
 import io.sequoiawheel.experiment.simulation.SimulatedRequest
 import io.sequoiawheel.experiment.simulation.SimulatedService
 
-/** Each entry instance sends to the replica whose last load report was lowest; ties are broken at random. */
+/** Sends to the replica with the lowest load in the entry instance's last reports; breaks ties at random. */
 class LeastReportedLoadPolicy : ImmediatePolicy() {
     override val name = "least-reported-load"
 
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/OutstandingCounts.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/OutstandingCounts.kt
@@ -3,7 +3,7 @@
 import io.sequoiawheel.experiment.simulation.SimulatedReplica
 import io.sequoiawheel.experiment.simulation.SimulatedRequest
 
-/** Requests in progress by entry instance and replica; entry instances know their own only. */
+/** Counts requests in progress by entry instance and replica; each entry instance knows only its own. */
 internal class OutstandingCounts {
     private val counts = HashMap<Pair<Int, Int>, Int>()
 
@@ -15,8 +15,8 @@
     fun add(
         request: SimulatedRequest,
         replica: SimulatedReplica,
-        change: Int,
+        delta: Int,
     ) {
-        counts.merge(request.arrival.entry to replica.index, change, Int::plus)
+        counts.merge(request.arrival.entry to replica.index, delta, Int::plus)
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/PolledReports.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/PolledReports.kt
@@ -12,13 +12,13 @@
 
     fun start() {
         for (entry in 0 until service.topology.entries) {
-            service.loop.repeat(POLL_MILLIS, service.random.nextDouble() * POLL_MILLIS) {
+            service.loop.repeat(POLL_INTERVAL_MILLIS, service.random.nextDouble() * POLL_INTERVAL_MILLIS) {
                 service.replicas.forEach { reports[entry][it.index] = it.loadReport() }
             }
         }
     }
 
-    /** Share of the memory in use plus waiting requests; a replica without a report counts as empty. */
+    /** Returns the share of memory in use plus the number of waiting requests; 0 for a replica without a report. */
     fun load(
         entry: Int,
         replica: SimulatedReplica,
@@ -28,7 +28,7 @@
     }
 
     private companion object {
-        /** The same period as that of the system's own load polls. */
-        const val POLL_MILLIS = 500.0
+        /** The same interval as the system's own load polls. */
+        const val POLL_INTERVAL_MILLIS = 500.0
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/PrefixAffinityPolicy.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/PrefixAffinityPolicy.kt
@@ -5,7 +5,7 @@
 import io.sequoiawheel.experiment.simulation.SimulatedReplica
 import io.sequoiawheel.experiment.simulation.SimulatedRequest
 
-/** Sends every request with the same prompt prefix to the same replica, whatever its load. */
+/** Sends all requests with the same prompt prefix to the same replica, regardless of its load. */
 class PrefixAffinityPolicy : ImmediatePolicy() {
     override val name = "prefix-affinity"
 
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/SequoiawheelPolicy.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/SequoiawheelPolicy.kt
@@ -1,7 +1,7 @@
 /*
  * The system's own policy: requests wait in a fair queue at their entry instance until a granting instance has reserved
- * predicted memory at a replica. Messages between entry instances take the topology's delay; progress of generations
- * and load reports reach granting instances, and views reach entry instances, with heartbeats.
+ * predicted memory at a replica. Messages between entry instances take the topology's delay. Heartbeats carry the
+ * progress of generations and load reports to granting instances, and views to entry instances.
  */
 package io.sequoiawheel.experiment.policy
 
@@ -21,9 +21,9 @@
 import io.sequoiawheel.experiment.simulation.SimulatedService
 
 /**
- * Admission by predicted memory over fair queues.
+ * Admits requests from fair queues by predicted memory.
  *
- * @param prefixes where prompt prefixes are probably cached, fed with heartbeats; null to ignore the caches
+ * @param prefixes index of probably cached prompt prefixes, updated with heartbeats; null to ignore the caches
  */
 class SequoiawheelPolicy(
     override val name: String = ExperimentReport.OWN_POLICY,
@@ -34,10 +34,10 @@
 
     private lateinit var memories: List<ReplicaMemory>
     private lateinit var entries: List<SimulatedEntry>
-    private val reservedAt = HashMap<Int, MutableSet<SimulatedRequest>>()
+    private val reservedByReplica = HashMap<Int, MutableSet<SimulatedRequest>>()
 
-    /** The largest number of workspaces that an entry instance remembers at the end of the run. */
-    val rememberedWorkspaces: Int get() = entries.maxOf { maxOf(it.queue.workspaces, it.estimator.historyCount) }
+    /** The largest number of workspaces for which any entry instance holds state at the end of the run. */
+    val trackedWorkspaces: Int get() = entries.maxOf { maxOf(it.queue.workspaces, it.estimator.historyCount) }
 
     override fun start(service: SimulatedService) {
         this.service = service
@@ -46,7 +46,7 @@
         service.replicas.forEach { replica ->
             poll(replica)
             publishView(replica)
-            service.loop.repeat(HEARTBEAT_MILLIS, service.random.nextDouble() * HEARTBEAT_MILLIS) {
+            service.loop.repeat(HEARTBEAT_INTERVAL_MILLIS, service.random.nextDouble() * HEARTBEAT_INTERVAL_MILLIS) {
                 poll(replica)
                 service.loop.schedule(service.topology.oneWayMillis) { publishView(replica) }
             }
@@ -55,17 +55,17 @@
 
     override fun place(request: SimulatedRequest) = entries[request.arrival.entry].offer(request)
 
-    override fun ended(request: SimulatedRequest) {
-        entries[request.arrival.entry].ended(request)
+    override fun onEnded(request: SimulatedRequest) {
+        entries[request.arrival.entry].onEnded(request)
         release(request, request.replica!!)
     }
 
-    override fun returned(
+    override fun onReturned(
         request: SimulatedRequest,
         failure: Failure,
     ) = release(request, request.replica!!)
 
-    /** Reserves room at the granting instance of [replica]. */
+    /** Reserves memory at the granting instance of [replica]. Returns whether it succeeded. */
     internal fun reserve(
         request: SimulatedRequest,
         replica: SimulatedReplica,
@@ -78,20 +78,20 @@
                 forecast(request),
                 service.loop.nowMillis,
             )
-        if (isReserved) reservedAt.getOrPut(replica.index) { LinkedHashSet() } += request
+        if (isReserved) reservedByReplica.getOrPut(replica.index) { LinkedHashSet() } += request
         return isReserved
     }
 
-    /** Returns the room of [request] after the message has reached the granting instance. */
+    /** Releases the reservation of [request] once the message has reached the granting instance. */
     internal fun release(
         request: SimulatedRequest,
         replica: SimulatedReplica,
     ) = service.loop.schedule(service.topology.oneWayMillis) {
         memories[replica.index].release(request.arrival.request.generation)
-        reservedAt[replica.index]?.remove(request)
+        reservedByReplica[replica.index]?.remove(request)
     }
 
-    /** Returns what the granting instance of [replica] answers to an entry instance. */
+    /** Returns the view that the granting instance of [replica] sends to an entry instance. */
     internal fun viewOf(replica: SimulatedReplica): ReplicaView =
         ReplicaView(
             replica = idOf(replica),
@@ -111,7 +111,7 @@
 
     private fun idOf(replica: SimulatedReplica) = InstanceId(replica.index.toString())
 
-    private fun readCacheEvents(
+    private fun applyCacheEvents(
         replica: SimulatedReplica,
         startId: String,
     ) {
@@ -124,9 +124,9 @@
     private fun poll(replica: SimulatedReplica) {
         replica.loadReport()?.let {
             memories[replica.index].report(it, service.loop.nowMillis)
-            readCacheEvents(replica, it.startId)
+            applyCacheEvents(replica, it.startId)
         }
-        reservedAt[replica.index].orEmpty().forEach {
+        reservedByReplica[replica.index].orEmpty().forEach {
             memories[replica.index].update(it.arrival.request.generation, forecast(it))
         }
     }
@@ -136,7 +136,7 @@
         entries.forEach { it.views[replica.index] = view }
     }
 
-    /** Counts half a memory block beyond the tokens, the mean of the last block's empty part. */
+    /** Adds half a memory block to the tokens held, the mean of the empty part of the last block. */
     private fun forecast(request: SimulatedRequest): GenerationForecast {
         val limit = request.arrival.request.maximumTokens
         val lengths = entries[request.arrival.entry].estimator.forecastQuantiles(keyOf(request), request.produced)
@@ -149,8 +149,8 @@
     internal companion object {
         private val SERVICE = ServiceName("wheel-writers")
 
-        /** Granting instances poll their replicas and answer heartbeats in this period. */
-        private const val HEARTBEAT_MILLIS = 500.0
+        /** Interval at which granting instances poll their replicas and answer heartbeats. */
+        private const val HEARTBEAT_INTERVAL_MILLIS = 500.0
 
         fun keyOf(request: SimulatedRequest) = LengthKey(SERVICE, request.arrival.workspace, request.arrival.kind)
     }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/SimulatedEntry.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/SimulatedEntry.kt
@@ -15,7 +15,7 @@
 import io.sequoiawheel.experiment.simulation.SimulatedRequest
 import io.sequoiawheel.experiment.simulation.SimulatedService
 
-/** One entry instance of [SequoiawheelPolicy]: its queue, its learned lengths, its lagging views of the replicas. */
+/** The state of one entry instance of [SequoiawheelPolicy]: queue, length estimates and lagging views of replicas. */
 internal class SimulatedEntry(
     private val policy: SequoiawheelPolicy,
     val zone: ZoneName,
@@ -26,7 +26,7 @@
 
     private val service = policy.service
     private val chooser = ReplicaChooser(service.random, prefersLocalZone = false)
-    private val costs = HashMap<SimulatedRequest, Long>()
+    private val chargedTokens = HashMap<SimulatedRequest, Long>()
     private var isPlacing = false
 
     fun offer(request: SimulatedRequest) {
@@ -39,41 +39,41 @@
         placeNext()
     }
 
-    /** Learns the length of a complete generation and corrects the charge of its workspace. */
-    fun ended(request: SimulatedRequest) {
+    /** Records the length of a completed generation and corrects the charge of its workspace. */
+    fun onEnded(request: SimulatedRequest) {
         val isComplete = request.state == SimulatedRequest.State.DONE
         if (isComplete) estimator.record(SequoiawheelPolicy.keyOf(request), request.produced)
-        val charged = costs.remove(request) ?: return
+        val charged = chargedTokens.remove(request) ?: return
         queue.correct(request.arrival.workspace, 1, charged, request.heldTokens.toLong())
     }
 
     private fun placeNext() {
         if (isPlacing) return
-        queue.expire(service.loop.nowMillis).forEach { giveUp(it) }
+        queue.expire(service.loop.nowMillis).forEach { refuseExpired(it) }
         val queued = queue.poll(service.loop.nowMillis) ?: return
         isPlacing = true
-        ask(queued, emptySet())
+        tryReserve(queued, emptySet())
     }
 
-    private fun giveUp(queued: QueuedRequest<SimulatedRequest>) {
+    private fun refuseExpired(queued: QueuedRequest<SimulatedRequest>) {
         val now = service.loop.nowMillis
         val wait = queue.predictedWaitMillis(queued.workspace, queued.weight, queued.costTokens, now)
         service.refuse(queued.item, Failure(ResultCode.QUEUE_TIMEOUT, retryAfterMillis = wait))
     }
 
-    private fun ask(
+    private fun tryReserve(
         queued: QueuedRequest<SimulatedRequest>,
-        asked: Set<Int>,
+        tried: Set<Int>,
     ) {
-        val candidates = service.eligibleReplicas().filter { it.index !in asked }
-        if (candidates.isEmpty() || asked.size >= MAXIMUM_ASKED) return postpone(queued)
+        val candidates = service.eligibleReplicas().filter { it.index !in tried }
+        if (candidates.isEmpty() || tried.size >= MAXIMUM_RESERVE_ATTEMPTS) return postpone(queued)
         val replica = choose(candidates, queued)
         service.loop.schedule(service.topology.oneWayMillis) {
             val isReserved = policy.reserve(queued.item, replica)
             val view = policy.viewOf(replica)
             service.loop.schedule(service.topology.oneWayMillis) {
                 views[replica.index] = view
-                if (isReserved) take(queued, replica) else ask(queued, asked + replica.index)
+                if (isReserved) dispatch(queued, replica) else tryReserve(queued, tried + replica.index)
             }
         }
     }
@@ -97,23 +97,23 @@
         return service.replicas[checkNotNull(chosen).replica.value.toInt()]
     }
 
-    private fun take(
+    private fun dispatch(
         queued: QueuedRequest<SimulatedRequest>,
         replica: SimulatedReplica,
     ) {
         isPlacing = false
-        if (queued.item.isOver) {
+        if (queued.item.isFinished) {
             policy.release(queued.item, replica)
         } else {
-            costs[queued.item] = queued.costTokens
+            chargedTokens[queued.item] = queued.costTokens
             service.dispatch(queued.item, replica)
         }
         placeNext()
     }
 
     private fun postpone(queued: QueuedRequest<SimulatedRequest>) {
-        if (!queued.item.isOver) queue.restore(queued, service.loop.nowMillis)
-        service.loop.schedule(RETRY_MILLIS) {
+        if (!queued.item.isFinished) queue.restore(queued, service.loop.nowMillis)
+        service.loop.schedule(RETRY_DELAY_MILLIS) {
             isPlacing = false
             placeNext()
         }
@@ -126,13 +126,13 @@
     }
 
     private companion object {
-        /** Time until a queue without room anywhere asks again. */
-        const val RETRY_MILLIS = 50.0
+        /** Delay before the next attempt after no replica had capacity. */
+        const val RETRY_DELAY_MILLIS = 50.0
 
-        /** Replicas asked for room before the request goes back to the queue. */
-        const val MAXIMUM_ASKED = 3
+        /** Maximum number of reservation attempts before a request returns to the queue. */
+        const val MAXIMUM_RESERVE_ATTEMPTS = 3
 
-        /** Queue charges use the median and are corrected by the actual length. */
+        /** Queue charges use the median length and are corrected with the actual length. */
         const val COST_QUANTILE = 0.5
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/TwoChoicesPolicy.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/policy/TwoChoicesPolicy.kt
@@ -6,8 +6,8 @@
 import io.sequoiawheel.experiment.simulation.SimulatedService
 
 /**
- * Of two replicas chosen at random, the one whose memory and queue look less loaded: the reported share of used memory
- * plus the requests that wait there, and the entry instance's own requests since.
+ * Sends to the less loaded of two replicas chosen at random. The load is the reported share of memory in use plus the
+ * reported waiting requests, and a weight for each outstanding request of the entry instance.
  */
 class TwoChoicesPolicy : ImmediatePolicy() {
     override val name = "two-choices"
@@ -27,27 +27,27 @@
     private fun score(
         request: SimulatedRequest,
         replica: SimulatedReplica,
-    ): Double = reports.load(request.arrival.entry, replica) + OWN_WEIGHT * counts.of(request, replica)
+    ): Double = reports.load(request.arrival.entry, replica) + OUTSTANDING_WEIGHT * counts.of(request, replica)
 
     override fun start(service: SimulatedService) {
         super.start(service)
         reports.start()
     }
 
-    override fun dispatched(
+    override fun onDispatch(
         request: SimulatedRequest,
         replica: SimulatedReplica,
     ) = counts.add(request, replica, 1)
 
-    override fun ended(request: SimulatedRequest) = counts.add(request, request.replica!!, -1)
+    override fun onEnded(request: SimulatedRequest) = counts.add(request, request.replica!!, -1)
 
-    override fun returned(
+    override fun onReturned(
         request: SimulatedRequest,
         failure: Failure,
     ) = counts.add(request, request.replica!!, -1)
 
     private companion object {
-        /** Share of a replica's memory that one own request stands for. */
-        const val OWN_WEIGHT = 0.02
+        /** Share of a replica's memory that one outstanding request of the entry instance counts as. */
+        const val OUTSTANDING_WEIGHT = 0.02
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/report/LinePlot.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/report/LinePlot.kt
@@ -7,7 +7,7 @@
 import java.nio.file.Path
 
 /**
- * A line plot with one line per series. Drawing needs no display.
+ * A line plot with one line per series. Rendering works without a display.
  *
  * @property series points by series name; x and y must be finite
  * @property isLogarithmic whether the y axis is logarithmic, in which case every y must be above 0
@@ -19,7 +19,7 @@
     val series: Map<String, List<Point>>,
     val isLogarithmic: Boolean = false,
 ) {
-    /** One measured point. */
+    /** One data point. */
     data class Point(
         val x: Double,
         val y: Double,
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/report/LinearFit.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/report/LinearFit.kt
@@ -17,7 +17,7 @@
     val rSquared: Double,
 ) {
     companion object {
-        /** Fits at least three points. */
+        /** Fits a line to [points], of which there must be at least three. */
         fun of(points: List<LinePlot.Point>): LinearFit {
             require(points.size >= MINIMUM_POINTS) { "a fit needs $MINIMUM_POINTS points, got ${points.size}" }
             val regression = SimpleRegression()
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/report/ReportPlots.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/report/ReportPlots.kt
@@ -1,5 +1,5 @@
 /*
- * The plots of the documentation: the main experiment against load, and the measured slopes of control costs.
+ * Draws the plots of the documentation: figures of `memory-pressure` by load, and the measured slopes of control costs.
  */
 package io.sequoiawheel.experiment.report
 
@@ -12,9 +12,9 @@
 import java.nio.file.Path
 
 /**
- * Draws plots into a directory.
+ * Writes plots to a directory.
  *
- * @param progress receives one line per finished step
+ * @param progress receives one line per completed step
  */
 class ReportPlots(
     private val directory: Path,
@@ -22,12 +22,12 @@
 ) {
     /** Runs `memory-pressure` at several loads with [seed] and draws stall time, preemptions and tail gaps. */
     fun drawMemoryPressure(seed: Long) {
-        val experiment = checkNotNull(Experiments.named(MEMORY_PRESSURE)) { "there is no $MEMORY_PRESSURE" }
+        val experiment = checkNotNull(Experiments.find(MEMORY_PRESSURE)) { "there is no $MEMORY_PRESSURE" }
         val reports = LOADS.associateWith { load -> runAt(experiment, seed, load) }
         figures.forEach { figure -> draw(figure, reports) }
     }
 
-    /** Measures the slopes of control costs and draws each. */
+    /** Measures the slopes of control costs and draws one plot for each. */
     fun drawControlCosts() {
         ControlCostExperiment.slopes().forEach { slope ->
             val fit = listOf(slope.points.first(), slope.points.last()).map { LinePlot.Point(it.x, slope.at(it.x)) }
@@ -86,7 +86,7 @@
         private val name: String,
         private val factor: Double = 1.0,
     ) {
-        // A logarithmic axis has no zero; one unit stands for none.
+        // A logarithmic axis cannot show zero, so every value is raised by one unit.
         fun value(figures: Map<String, Double>): Double {
             val value = figures.getValue(name) * factor
             return if (isLogarithmic) value + 1 else value
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/Arrival.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/Arrival.kt
@@ -4,11 +4,11 @@
 import io.sequoiawheel.standin.engine.ModelRequest
 
 /**
- * One request as a caller sends it.
+ * A request that arrives from a caller.
  *
- * @property atMillis when it reaches an entry instance
- * @property entry index of the entry instance that the load balancer picks
- * @property kind the caller's word for it; the engine's kind, which decides the length, is in [request]
+ * @property atMillis arrival time at an entry instance
+ * @property entry index of the entry instance that the load balancer chose
+ * @property kind the caller's request kind; the engine's kind, which determines the output length, is in [request]
  */
 class Arrival(
     val atMillis: Double,
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/CapacityProbe.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/CapacityProbe.kt
@@ -8,9 +8,9 @@
 import io.sequoiawheel.standin.engine.OutputLengths
 
 /**
- * Measures what one engine sustains without preemption: an endless backlog is admitted in order of arrival, each
- * request as soon as the true future peak of the memory, with all output lengths known, stays within the engine's
- * memory. Load 1.0 of an experiment is this rate times the number of replicas.
+ * Measures the throughput that one engine sustains without preemption. Requests of an endless backlog are admitted in
+ * order of arrival, each as soon as the peak memory, computed from the actual output lengths, fits the engine's memory.
+ * Load 1.0 of an experiment is this rate times the number of replicas.
  */
 class CapacityProbe(
     private val workload: Workload,
@@ -23,7 +23,7 @@
         var produced = 0
     }
 
-    /** Returns completed requests per second of one engine. */
+    /** Returns the completed requests per second of one engine. */
     fun requestsPerSecond(): Double {
         val lengths = workload.lengths(PROBE_SEED)
         val engine = EngineModel(settings, lengths, PROBE_SEED)
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Counts whole blocks, of which the last is half empty on average and may be empty but for one token. */
+    /** Adds a whole block, because the last block is half empty on average and may hold only one token. */
     private fun estimate(running: Running) =
         RunningEstimate(
             running.arrival.request.promptTokens + running.produced + settings.blockTokens,
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/DispatchPolicy.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/DispatchPolicy.kt
@@ -3,8 +3,8 @@
 import io.sequoiawheel.core.model.Failure
 
 /**
- * How the entry instances of a service hand requests to replicas. One object stands for all entry instances; it must
- * keep what it learns apart per entry instance, and account for the delay of what they tell each other.
+ * Decides how the entry instances of a service dispatch requests to replicas. One object represents all entry
+ * instances; it must keep separate state per entry instance and simulate the delay of messages between them.
  */
 interface DispatchPolicy {
     /** The name in reports. */
@@ -13,14 +13,14 @@
     /** Called once before the run. */
     fun start(service: SimulatedService)
 
-    /** A request has reached its entry instance, or is back there because a replica did not take it. */
+    /** Places a request that has arrived at its entry instance or was returned there by a replica. */
     fun place(request: SimulatedRequest)
 
-    /** A request has ended after it was dispatched; its replica's memory is free again. */
-    fun ended(request: SimulatedRequest) = Unit
+    /** Called when a dispatched request has ended; its replica's memory is free again. */
+    fun onEnded(request: SimulatedRequest) = Unit
 
-    /** A replica did not take the request, or lost it before its first token; [place] follows. */
-    fun returned(
+    /** Called when a replica rejected the request or lost it before its first token; [place] follows. */
+    fun onReturned(
         request: SimulatedRequest,
         failure: Failure,
     ) = Unit
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/EventLoop.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/EventLoop.kt
@@ -2,22 +2,22 @@
 
 import java.util.PriorityQueue
 
-/** Virtual time. Actions of the same time run in the order in which they were scheduled. */
+/** An event loop in virtual time. Actions with the same time run in the order in which they were scheduled. */
 class EventLoop {
     private class Event(
         val atMillis: Double,
-        val number: Long,
+        val sequence: Long,
         val action: () -> Unit,
     )
 
-    private val events = PriorityQueue(compareBy<Event> { it.atMillis }.thenBy { it.number })
-    private var scheduled = 0L
+    private val events = PriorityQueue(compareBy<Event> { it.atMillis }.thenBy { it.sequence })
+    private var scheduledCount = 0L
 
     /** The current time in milliseconds since the start of the run. */
     var now = 0.0
         private set
 
-    /** The current time in whole milliseconds, as the decisions of `core` take it. */
+    /** The current time in whole milliseconds, as used by `core`. */
     val nowMillis: Long get() = now.toLong()
 
     /** Runs [action] after [delayMillis]. */
@@ -26,10 +26,10 @@
         action: () -> Unit,
     ) {
         require(delayMillis >= 0) { "an action cannot run $delayMillis ms in the past" }
-        events += Event(now + delayMillis, scheduled++, action)
+        events += Event(now + delayMillis, scheduledCount++, action)
     }
 
-    /** Runs [action] every [periodMillis], first after [offsetMillis], for as long as the run lasts. */
+    /** Runs [action] every [periodMillis], first after [offsetMillis], until the run ends. */
     fun repeat(
         periodMillis: Double,
         offsetMillis: Double = periodMillis,
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/Measures.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/Measures.kt
@@ -8,9 +8,9 @@
  * recorded in microseconds and reported in milliseconds.
  */
 class Measures {
-    private val gaps = Histogram(HIGHEST_MICROS, DIGITS)
-    private val firstTokens = Histogram(HIGHEST_MICROS, DIGITS)
-    private val stalls = Histogram(HIGHEST_MICROS, DIGITS)
+    private val gaps = Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS)
+    private val firstTokens = Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS)
+    private val stalls = Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS)
     private val groups = HashMap<String, Group>()
     private val windowTokens = IdentityHashMap<SimulatedRequest, IntArray>()
     private val endsByState = HashMap<SimulatedRequest.State, Int>()
@@ -21,7 +21,7 @@
     var preemptions = 0L
         internal set
 
-    /** Requests without an end at the end of the run. */
+    /** Requests that had not ended by the end of the run. */
     var unfinished = 0
         internal set
 
@@ -54,7 +54,7 @@
         totalStallMillis += request.stallMillis
     }
 
-    /** Requests that ended in [state]. */
+    /** Returns the number of measured requests that ended in [state]. */
     fun count(state: SimulatedRequest.State): Int = endsByState[state] ?: 0
 
     /** Returns the figures of the workspaces of one [group], each name starting with the group. */
@@ -92,7 +92,7 @@
             "goodputTokensPerSecond" to goodTokens / windowMillis * MILLIS_PER_SECOND,
         )
 
-    /** Returns what broke a promise in a run without faults: every request must end, and none may be lost. */
+    /** Returns the violations in a run without faults: every request must end, and none may be lost. */
     fun violations(): List<String> =
         buildList {
             if (unfinished > 0) add("$unfinished requests got no final answer")
@@ -114,17 +114,17 @@
     ): Double = histogram.getValueAtPercentile(percentile) / MICROS_PER_MILLI
 
     private class Group {
-        val firstTokens = Histogram(HIGHEST_MICROS, DIGITS)
+        val firstTokens = Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS)
         val endsByState = HashMap<SimulatedRequest.State, Int>()
         var goodTokens = 0L
     }
 
     companion object {
-        /** The gap between tokens that the design size promises to 95 in 100; what is beyond it is stall time. */
+        /** The 95th-percentile token gap promised at the design size; time beyond it counts as stall time. */
         const val EXPECTED_GAP_MILLIS = 61.0
 
         private const val HIGHEST_MICROS = 3_600_000_000L
-        private const val DIGITS = 3
+        private const val SIGNIFICANT_DIGITS = 3
         private const val MICROS_PER_MILLI = 1000.0
         private const val MILLIS_PER_SECOND = 1000.0
     }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/SimulatedReplica.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/SimulatedReplica.kt
@@ -9,7 +9,7 @@
 import io.sequoiawheel.standin.engine.Submission
 
 /**
- * One replica: an engine model that is stepped in virtual time.
+ * One replica, an engine model that is stepped in virtual time.
  *
  * @property index position in the topology
  * @property engine the model; policies must use [loadReport] and [cacheEvents] only
@@ -23,7 +23,7 @@
 ) {
     private var isStepping = false
 
-    /** Whether the replica is live or leaving, without the lag of the instance list. */
+    /** The current state, without the lag of the instance list. */
     var state = Instance.State.LIVE
         internal set
 
@@ -38,8 +38,8 @@
     /** Returns the lagging load report, or null while the replica does not answer. */
     fun loadReport(): LoadReport? = if (engine.isDown(loop.nowMillis)) null else engine.loadReport(loop.nowMillis)
 
-    /** Returns the visible cache events with numbers above [after]. */
-    fun cacheEvents(after: Long): List<CacheEvent> = engine.cacheEvents(after, loop.nowMillis)
+    /** Returns the visible cache events with sequence numbers above [afterSequence]. */
+    fun cacheEvents(afterSequence: Long): List<CacheEvent> = engine.cacheEvents(afterSequence, loop.nowMillis)
 
     internal fun submit(request: ModelRequest): Submission {
         val submission = engine.submit(request, loop.nowMillis)
@@ -59,7 +59,7 @@
             return
         }
         loop.schedule(result.durationMillis) {
-            // A crash during the step takes the step's tokens with it.
+            // A crash during the step discards the tokens of the step.
             if (engine.startId == startId) onEvents(this, result.events)
             step()
         }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/SimulatedRequest.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/SimulatedRequest.kt
@@ -2,16 +2,16 @@
 
 import io.sequoiawheel.core.model.Failure
 
-/** One request on its way. The simulation changes it; policies only read it. */
+/** The state of one request. The simulation updates it; policies only read it. */
 class SimulatedRequest(
     val arrival: Arrival,
 ) {
-    /** Where a request is. */
+    /** The progress of a request. */
     enum class State {
-        /** At its entry instance. */
+        /** Waiting at its entry instance. */
         PENDING,
 
-        /** On its way to a replica or there. */
+        /** Sent to a replica, and in transit or running there. */
         DISPATCHED,
 
         /** Complete. */
@@ -27,15 +27,15 @@
         FAILED,
     }
 
-    /** Where the request is now. */
+    /** The current state. */
     var state = State.PENDING
         internal set
 
-    /** The replica that it was sent to last. */
+    /** The replica of the last dispatch. */
     var replica: SimulatedReplica? = null
         internal set
 
-    /** Tokens that the entry instance has seen. */
+    /** Tokens that the entry instance has received. */
     var produced = 0
         internal set
 
@@ -47,7 +47,7 @@
     var lastTokenAt = Double.NaN
         internal set
 
-    /** Time beyond the expected gap between tokens after the first, in milliseconds. */
+    /** Total time in milliseconds by which gaps between tokens exceeded the expected gap. */
     var stallMillis = 0.0
         internal set
 
@@ -55,12 +55,12 @@
     var attempts = 0
         internal set
 
-    /** Why it was refused or failed. */
+    /** The reason for a refusal or failure. */
     var failure: Failure? = null
         internal set
 
     /** Whether the request has reached its final state. */
-    val isOver: Boolean get() = state != State.PENDING && state != State.DISPATCHED
+    val isFinished: Boolean get() = state != State.PENDING && state != State.DISPATCHED
 
     /** Tokens in the replica's memory. */
     val heldTokens: Int get() = arrival.request.promptTokens + produced
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/SimulatedService.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/SimulatedService.kt
@@ -1,6 +1,6 @@
 /*
- * A discrete-event simulation of one service: callers, entry instances, replicas. The decisions are those of a
- * DispatchPolicy; the engines are the models of the stand-ins.
+ * A discrete-event simulation of one service with its callers, entry instances and replicas. A DispatchPolicy makes the
+ * decisions; the engines are the models of the stand-ins.
  */
 package io.sequoiawheel.experiment.simulation
 
@@ -16,7 +16,7 @@
 import org.apache.commons.rng.simple.RandomSource
 
 /**
- * One run. Actions such as [kill] may be scheduled on [loop] before [run].
+ * One run of the simulation. Actions such as [kill] may be scheduled on [loop] before [run].
  *
  * @property warmUpMillis requests that arrive earlier, and gaps that end earlier, are not measured
  */
@@ -31,10 +31,10 @@
     /** The virtual time of the run. */
     val loop = EventLoop()
 
-    /** Random numbers for decisions; arrivals and lengths have their own. */
+    /** Random numbers for decisions; arrivals and lengths use separate generators. */
     val random: UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
 
-    /** All replicas, including those that are down. */
+    /** All replicas, including replicas that are down. */
     val replicas =
         List(topology.replicas) { index ->
             val settings = topology.engine.copy(name = "replica-$index")
@@ -45,21 +45,21 @@
     /** The figures of the run. */
     val measures = Measures()
 
-    /** Zones that operators have taken out, as the entry instances know them. */
-    val zonesOut: Set<String> get() = outOfService
+    /** Zones that operators have taken out of service, as known to the entry instances. */
+    val zonesOutOfService: Set<String> get() = outOfService
 
     private val outOfService = HashSet<String>()
     private val inProgress = HashMap<RequestId, SimulatedRequest>()
 
-    /** Replicas that the instance list shows as live, in zones that are in service. */
+    /** Returns the replicas that the instance list shows as live, in zones that are in service. */
     fun eligibleReplicas(): List<SimulatedReplica> =
         replicas.filter { it.listedState == Instance.State.LIVE && it.zone !in outOfService }
 
-    /** Runs [arrivals] for [durationMillis] and then until [drainMillis] later. */
+    /** Simulates [arrivals] for [durationMillis] and then lets requests drain for [drainMillis]. */
     fun run(
         arrivals: List<Arrival>,
         durationMillis: Double,
-        drainMillis: Double = DRAIN_MILLIS,
+        drainMillis: Double = DEFAULT_DRAIN_MILLIS,
     ): Measures {
         measures.windowMillis = durationMillis - warmUpMillis
         measures.windowEndMillis = durationMillis
@@ -71,7 +71,7 @@
         return measures
     }
 
-    /** Sends a pending request to a replica. */
+    /** Dispatches a pending request to a replica. */
     fun dispatch(
         request: SimulatedRequest,
         replica: SimulatedReplica,
@@ -83,7 +83,7 @@
         loop.schedule(topology.oneWayMillis) { submit(request, replica) }
     }
 
-    /** Gives a pending request its final answer. */
+    /** Refuses a pending request with [failure]. */
     fun refuse(
         request: SimulatedRequest,
         failure: Failure,
@@ -91,17 +91,17 @@
         if (request.state == SimulatedRequest.State.PENDING) end(request, SimulatedRequest.State.REFUSED, failure)
     }
 
-    /** Makes a replica fail now; it comes back cold after its restart time. */
+    /** Crashes a replica now; it comes back cold after its restart time. */
     fun kill(replica: SimulatedReplica) = replica.crash()
 
-    /** Makes a replica leave: the instance list shows it after its lag. */
+    /** Marks a replica as leaving; the instance list shows it after its lag. */
     fun leave(replica: SimulatedReplica) = changeState(replica, Instance.State.LEAVING)
 
-    /** Makes a left replica live again; the instance list shows it after its lag. */
+    /** Marks a replica that left as live again; the instance list shows it after its lag. */
     fun join(replica: SimulatedReplica) = changeState(replica, Instance.State.LIVE)
 
-    /** Takes a zone out of service, or back in, as the entry instances learn it. */
-    fun setZoneOut(
+    /** Takes a zone out of service or returns it; the entry instances learn of it immediately. */
+    fun setZoneOutOfService(
         zone: String,
         isOut: Boolean,
     ) {
@@ -118,35 +118,35 @@
 
     private fun accept(request: SimulatedRequest) {
         inProgress[request.arrival.request.generation] = request
-        loop.schedule(FIRST_TOKEN_DEADLINE_MILLIS) { giveUp(request) }
+        loop.schedule(FIRST_TOKEN_DEADLINE_MILLIS) { timeOut(request) }
         policy.place(request)
     }
 
-    private fun giveUp(request: SimulatedRequest) {
-        if (request.isOver || request.produced > 0) return
+    private fun timeOut(request: SimulatedRequest) {
+        if (request.isFinished || request.produced > 0) return
         val wasDispatched = request.state == SimulatedRequest.State.DISPATCHED
         if (wasDispatched) request.replica?.engine?.cancel(request.arrival.request.generation)
         end(request, SimulatedRequest.State.TIMED_OUT, Failure(ResultCode.DEADLINE_AFTER_DISPATCH))
-        if (wasDispatched) policy.ended(request)
+        if (wasDispatched) policy.onEnded(request)
     }
 
     private fun submit(
         request: SimulatedRequest,
         replica: SimulatedReplica,
     ) {
-        if (request.isOver) return
+        if (request.isFinished) return
         val submission = replica.submit(request.arrival.request)
         if (submission == Submission.ACCEPTED) return
-        giveBack(request, Failure(ResultCode.CONNECT_FAILED, submission.name))
+        returnToEntry(request, Failure(ResultCode.CONNECT_FAILED, submission.name))
     }
 
-    private fun giveBack(
+    private fun returnToEntry(
         request: SimulatedRequest,
         failure: Failure,
     ) {
         loop.schedule(topology.oneWayMillis) {
-            if (request.isOver) return@schedule
-            policy.returned(request, failure)
+            if (request.isFinished) return@schedule
+            policy.onReturned(request, failure)
             request.state = SimulatedRequest.State.PENDING
             if (request.attempts >= MAXIMUM_ATTEMPTS) {
                 end(request, SimulatedRequest.State.FAILED, failure)
@@ -166,13 +166,13 @@
             when (event) {
                 is ModelEvent.Token -> deliver(request, event)
                 is ModelEvent.Done -> finish(request, SimulatedRequest.State.DONE, null)
-                is ModelEvent.Lost -> lose(request)
+                is ModelEvent.Lost -> handleLoss(request)
                 is ModelEvent.Preempted -> Unit
             }
         }
     }
 
-    /** The way back to the entry instance takes the same time for each token and is left out of the gaps. */
+    /** Ignores the network delay to the entry instance: it is the same for each token and does not affect the gaps. */
     private fun deliver(
         request: SimulatedRequest,
         event: ModelEvent.Token,
@@ -190,12 +190,12 @@
         if (loop.now in warmUpMillis..measures.windowEndMillis) measures.recordToken(request)
     }
 
-    private fun lose(request: SimulatedRequest) {
+    private fun handleLoss(request: SimulatedRequest) {
         val failure = Failure(ResultCode.STREAM_INTERRUPTED)
         if (request.produced ==
             0
         ) {
-            giveBack(request, failure)
+            returnToEntry(request, failure)
         } else {
             finish(request, SimulatedRequest.State.FAILED, failure)
         }
@@ -207,7 +207,7 @@
         failure: Failure?,
     ) {
         end(request, state, failure)
-        policy.ended(request)
+        policy.onEnded(request)
     }
 
     private fun end(
@@ -228,7 +228,7 @@
         /** Default of `retryBudget.maximumAttempts` in a service document. */
         const val MAXIMUM_ATTEMPTS = 3
 
-        /** Longest output, waits and recomputation included, after the last arrival. */
-        private const val DRAIN_MILLIS = 400_000.0
+        /** Time that the longest output takes after the last arrival, including waits and recomputation. */
+        private const val DEFAULT_DRAIN_MILLIS = 400_000.0
     }
 }
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/Topology.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/Topology.kt
@@ -3,10 +3,10 @@
 import io.sequoiawheel.standin.engine.EngineSettings
 
 /**
- * The instances of one service. Entry instances and replicas are spread over the zones in turn.
+ * The instances of one service. Entry instances and replicas are assigned to the zones in turn.
  *
- * @property oneWayMillis delay between any two instances; `clientMillis` the same to the callers
- * @property listLagMillis time until a change shows in the instance list
+ * @property oneWayMillis delay between any two instances; `clientMillis` is the delay to the callers
+ * @property listLagMillis time until a change appears in the instance list
  */
 data class Topology(
     val zones: List<String> = listOf("colombo-a", "colombo-b", "gampaha-c"),
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/Workload.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/simulation/Workload.kt
@@ -13,7 +13,7 @@
 import kotlin.math.roundToInt
 
 /**
- * Seeded arrivals of mixed kinds from workspaces of different size. Arrivals are a Poisson process.
+ * Generates seeded Poisson arrivals of several request kinds from workspaces of different sizes.
  *
  * @param blockTokens tokens per block of a prompt's hash chain
  */
@@ -35,7 +35,7 @@
         return OutputLengths(seed, distributions.toMap())
     }
 
-    /** Returns the arrivals of [durationMillis] at [ratePerSecond], spread over [entries] entry instances. */
+    /** Returns the arrivals during [durationMillis] at [ratePerSecond], spread over [entries] entry instances. */
     fun arrivals(
         seed: Long,
         ratePerSecond: Double,
@@ -63,17 +63,17 @@
         val workspace = pickWorkspace(random)
         val kind = if (random.nextDouble() < workspace.letterShare) LETTER else SUMMARY
         val gaussian = ZigguratSampler.NormalizedGaussian.of(random)
-        val drawn = LogNormalSampler.of(gaussian, ln(kind.promptMedian), kind.promptSigma).sample().roundToInt()
-        val own = drawn.coerceIn(MINIMUM_PROMPT, kind.promptMaximum)
-        val prefix = if (kind === LETTER) workspace.prefixTokens else 0
+        val sampledTokens = LogNormalSampler.of(gaussian, ln(kind.promptMedian), kind.promptSigma).sample().roundToInt()
+        val ownTokens = sampledTokens.coerceIn(MINIMUM_PROMPT, kind.promptMaximum)
+        val prefixTokens = if (kind === LETTER) workspace.prefixTokens else 0
         val request =
             ModelRequest(
                 generation = RequestId("r$index"),
                 model = Topology.MODEL,
                 kind = "${kind.name}/${workspace.workspace}",
-                promptTokens = prefix + own,
+                promptTokens = prefixTokens + ownTokens,
                 maximumTokens = kind.outputMaximum,
-                promptBlocks = prefixChain(workspace.workspace, prefix),
+                promptBlocks = prefixChain(workspace.workspace, prefixTokens),
             )
         return Arrival(atMillis, entry, workspace.workspace, kind.name, request)
     }
@@ -108,7 +108,7 @@
         private val SUMMARY = Kind("summary", 1_200.0, 0.5, 4_000, 60.0, 0.6, 512)
         private val KINDS = listOf(LETTER, SUMMARY)
 
-        /** Ten workspaces, three of them large, with output lengths from half to one and a half of the usual. */
+        /** Ten workspaces, three of them large, with output lengths from 0.5 to 1.5 times the usual. */
         val TEN_WORKSPACES =
             listOf(0.30 to 1.0, 0.22 to 0.6, 0.15 to 1.4).mapIndexed { index, (share, factor) ->
                 WorkspaceTraffic(WorkspaceName("large-$index"), share, factor)
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/virtual/Figures.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/virtual/Statistics.kt
@@ -2,8 +2,8 @@
 
 import org.apache.commons.math3.stat.descriptive.rank.Percentile
 
-/** Small statistics for reports. */
-internal object Figures {
+/** Statistics for experiment reports. */
+internal object Statistics {
     /** Returns the percentile [p] of [values], from 0 to 100; 0 if there are none. */
     fun percentile(
         values: Collection<Long>,
--- a/experiment/src/main/kotlin/io/sequoiawheel/experiment/virtual/VirtualTime.kt
+++ b/experiment/src/main/kotlin/io/sequoiawheel/experiment/virtual/VirtualTime.kt
@@ -10,23 +10,23 @@
 
 /** Runs coroutines in virtual time, on the calling thread. */
 internal object VirtualTime {
-    private val WALL_CLOCK_LIMIT = 10.minutes
+    private val WALL_CLOCK_TIMEOUT = 10.minutes
 
-    /** Returns the result of [block]; background coroutines end with it. */
+    /** Runs [block] and returns its result; its background coroutines are cancelled when it ends. */
     fun <T> run(block: suspend TestScope.() -> T): T {
         var result: Result<T>? = null
-        runTest(timeout = WALL_CLOCK_LIMIT) { result = Result.success(block()) }
+        runTest(timeout = WALL_CLOCK_TIMEOUT) { result = Result.success(block()) }
         return result!!.getOrThrow()
     }
 
     /** Returns the clock of this scope. */
     fun TestScope.clock(): Clock = Clock { currentTime }
 
-    /** Returns a random stream that depends on [seed] and [purpose] only. */
+    /** Returns a random number generator that depends only on [seed] and [purpose]. */
     fun random(
         seed: Long,
         purpose: String,
-    ): UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * PRIME + purpose.hashCode())
+    ): UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * SEED_MULTIPLIER + purpose.hashCode())
 
-    private const val PRIME = 1_000_003L
+    private const val SEED_MULTIPLIER = 1_000_003L
 }
--- a/experiment/src/test/kotlin/io/sequoiawheel/experiment/SimulationTest.kt
+++ b/experiment/src/test/kotlin/io/sequoiawheel/experiment/SimulationTest.kt
@@ -20,20 +20,20 @@
 
     private fun arrivals(rate: Double) = workload.arrivals(SEED, rate, DURATION, topology.entries)
 
-    /** Guards against figures that cannot be reproduced. */
+    /** Guards against figures that differ between runs with the same seed. */
     @Test
     fun `the same seed gives the same figures`() {
         val runs = List(2) { service(SequoiawheelPolicy()).run(arrivals(5.0), DURATION).figures() }
         assertEquals(runs[0], runs[1])
     }
 
-    /** Guards against requests that vanish between policy and engines when a replica fails. */
+    /** Guards against requests that are lost between policy and engines when a replica fails. */
     @Test
-    fun `every request ends when a replica fails and a zone goes out`() {
+    fun `every request ends when a replica fails and a zone is taken out of service`() {
         listOf(SequoiawheelPolicy(), LeastOutstandingPolicy()).forEach { policy ->
             val service = service(policy)
             service.loop.schedule(20_000.0) { service.kill(service.replicas[0]) }
-            service.loop.schedule(40_000.0) { service.setZoneOut(service.replicas[1].zone, true) }
+            service.loop.schedule(40_000.0) { service.setZoneOutOfService(service.replicas[1].zone, true) }
             val arrivals = arrivals(5.0)
             val measures = service.run(arrivals, DURATION)
             assertEquals(arrivals.size, SimulatedRequest.State.entries.sumOf { measures.count(it) })
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Guards against admission that lets the engines' memory overflow under more load than they carry. */
+    /** Guards against admission that lets engine memory overflow under overload. */
     @Test
     fun `overload preempts at most a tenth as often as the baseline`() {
         val own = service(SequoiawheelPolicy()).run(arrivals(8.0), DURATION)
--- a/experiment/src/test/kotlin/io/sequoiawheel/experiment/state/ClaimRegistryTest.kt
+++ b/experiment/src/test/kotlin/io/sequoiawheel/experiment/state/ClaimRegistryTest.kt
@@ -25,8 +25,8 @@
 
 class ClaimRegistryTest {
     private val key = ClaimKey(ServiceName("desk"), WorkspaceName("w"), "record", "k1")
-    private val live = mutableSetOf("a", "b")
-    private var claimIds = 0
+    private val liveInstances = mutableSetOf("a", "b")
+    private var claimCount = 0
 
     private fun TestScope.store() =
         ObjectStoreModel(
@@ -38,7 +38,15 @@
     private fun TestScope.registry(
         name: String,
         api: ObjectApi,
-    ) = ClaimRegistry(api, InstanceId(name), Clock { currentTime }, { it.value in live }, { "$name-${claimIds++}" })
+    ) = ClaimRegistry(
+        api,
+        InstanceId(name),
+        Clock {
+            currentTime
+        },
+        { it.value in liveInstances },
+        { "$name-${claimCount++}" },
+    )
 
     private suspend fun ClaimRegistry.claim(digest: String = "d") = claim(key, digest, 86_400_000, 10_000)
 
@@ -59,13 +67,13 @@
             assertEquals("{}", second.outcome(key).getOrNull()!!.body)
         }
 
-    /** Guards against re-running a call whose claimant died before recording an outcome. */
+    /** Guards against running a call again after its claimant died before recording an outcome. */
     @Test
-    fun `a claim whose claimant is gone stays claimed`() =
+    fun `a claim stays claimed after its claimant has died`() =
         runTest {
             val store = store()
             registry("a", store).claim()
-            live -= "a"
+            liveInstances -= "a"
             assertEquals(ResultCode.OUTCOME_UNKNOWN, registry("b", store).claim().code())
         }
 
@@ -93,7 +101,7 @@
             assertInstanceOf(ClaimDecision.Granted::class.java, registry("b", store).claim())
         }
 
-    /** Guards against a delayed create that revives a claim which was given up, and blocks the key until it expires. */
+    /** Guards against a delayed create that restores an abandoned claim and blocks the key until the claim expires. */
     @Test
     fun `a write that takes effect after the release does not block the key`() =
         runTest {
@@ -108,7 +116,7 @@
             assertInstanceOf(ClaimDecision.Granted::class.java, registry("b", store).claim())
         }
 
-    /** Guards against expiry that deletes records within their retention. */
+    /** Guards against expiry that deletes records before their retention has passed. */
     @Test
     fun `a record is deleted only after its retention`() =
         runTest {
--- a/experiment/src/test/kotlin/io/sequoiawheel/experiment/state/DocumentAcceptorTest.kt
+++ b/experiment/src/test/kotlin/io/sequoiawheel/experiment/state/DocumentAcceptorTest.kt
@@ -39,9 +39,9 @@
         name: String,
     ) = backgroundScope.launch { DocumentAcceptor(api, InstanceId(name), Clock { currentTime }, { true }).run() }
 
-    /** Guards against a rejected document that replaces the accepted one, or whose faults nobody can read. */
+    /** Guards against a rejected document that replaces the accepted one or whose faults are not recorded. */
     @Test
-    fun `a rejected document leaves the accepted one and records the faulty field`() =
+    fun `a rejected document does not replace the accepted one and its faulty field is recorded`() =
         runTest {
             val store = store()
             val reader = ConfigurationReader(store)
@@ -84,7 +84,7 @@
             )
         }
 
-    /** Guards against a deletion that a stale peer could undo, because nothing higher than it exists. */
+    /** Guards against a deletion without a generation of its own, which a stale peer could undo. */
     @Test
     fun `a deletion is an accepted tombstone with a generation`() =
         runTest {
--- a/experiment/src/test/kotlin/io/sequoiawheel/experiment/state/ExperimentsTest.kt
+++ b/experiment/src/test/kotlin/io/sequoiawheel/experiment/state/ExperimentsTest.kt
@@ -15,18 +15,18 @@
         policy: String = ExperimentReport.OWN_POLICY,
     ) = policies.getValue(policy).getValue(name)
 
-    /** Guards against a broken promise under faults in twos, and against faults too mild to break a baseline. */
+    /** Guards against broken promises under overlapping faults, and against faults too mild to make a baseline fail. */
     @Test
-    fun `at-most-once holds with claims and breaks without them`() {
+    fun `non-idempotent calls run at most once with claims and more than once without them`() {
         val report = AtMostOnceExperiment().run(ExperimentOptions(seed = 1))
         assertEquals(emptyList<String>(), report.violations)
         assertTrue(report.figure("factsExaminedP6") > 1_000)
         assertTrue(report.figure("callsRunTwiceOrMore", "no-claims") > 0)
     }
 
-    /** Guards against a change that is late, reverted or unaudited, and against faults too mild to delay a baseline. */
+    /** Guards against late, reverted or unaudited changes, and against faults too mild to delay a baseline. */
     @Test
-    fun `accepted changes are in force everywhere in time and stay`() {
+    fun `accepted changes are in force at every instance in time and are not reverted`() {
         val report = ConfigurationExperiment(listOf(ConfigurationScenario.Size.TODAY)).run(ExperimentOptions(seed = 1))
         assertEquals(emptyList<String>(), report.violations)
         assertTrue(report.figure("todayFactsExaminedP9") > 500)
--- a/experiment/src/test/kotlin/io/sequoiawheel/experiment/state/LeaseTest.kt
+++ b/experiment/src/test/kotlin/io/sequoiawheel/experiment/state/LeaseTest.kt
@@ -26,15 +26,15 @@
         name: String,
     ) = Lease(api, "duty", InstanceId(name), Clock { currentTime })
 
-    /** Guards against two holders at one time, whatever answers are lost and however long a holder is cut off. */
+    /** Guards against two simultaneous holders when answers are lost or a holder is disconnected for long. */
     @Test
-    fun `at most one instance may act and fencing numbers rise`() =
+    fun `at most one instance holds the lease and fencing numbers never decrease`() =
         runTest {
             val store = store()
             val clients = List(3) { store.client() }
             val leases = clients.mapIndexed { index, client -> lease(client, "i$index") }
             leases.forEach { backgroundScope.launch { it.run() } }
-            val fencings = mutableListOf<Long>()
+            val fencingNumbers = mutableListOf<Long>()
             repeat(600) { second ->
                 if (second % 60 == 30) {
                     clients.forEach { it.faults = StoreFaults(latencyMillis = 0, lostAnswerProbability = 0.5) }
@@ -43,17 +43,17 @@
                     }
                 }
                 delay(1_000)
-                val acting = leases.mapNotNull { it.tenure }
-                assertTrue(acting.size <= 1)
-                acting.firstOrNull()?.let { fencings += it.fencing }
+                val heldTenures = leases.mapNotNull { it.tenure }
+                assertTrue(heldTenures.size <= 1)
+                heldTenures.firstOrNull()?.let { fencingNumbers += it.fencing }
             }
-            assertEquals(fencings.sorted(), fencings)
-            assertTrue(fencings.distinct().size >= 5)
+            assertEquals(fencingNumbers.sorted(), fencingNumbers)
+            assertTrue(fencingNumbers.distinct().size >= 5)
         }
 
-    /** Guards against a holder that acts on after a pause, before it has renewed. */
+    /** Guards against a holder that continues to act after a pause before it has renewed the lease. */
     @Test
-    fun `a paused holder may not act and a resigned lease is taken over early`() =
+    fun `a paused holder loses the lease and a resigned lease is taken over early`() =
         runTest {
             val store = store()
             val first = lease(store, "a")
