--- a/cli/src/main/kotlin/io/sequoiawheel/cli/CodesCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/CodesCommand.kt
@@ -13,14 +13,14 @@
 @Command(
     name = "codes",
     mixinStandardHelpOptions = true,
-    description = ["Print every result code, whether the work ran, its HTTP status and its exit code."],
+    description = ["Print every result code with its HTTP status, its exit code and whether the work ran."],
     footer = ["", "Example: sequoiawheel codes --output json"],
 )
 class CodesCommand : Runnable {
     @Mixin
     private lateinit var output: OutputOptions
 
-    @Option(names = ["--markdown"], description = ["Print the table of docs/result-codes.md."])
+    @Option(names = ["--markdown"], description = ["Print the table as Markdown, as in docs/result-codes.md."])
     private var markdown = false
 
     @Spec
@@ -30,15 +30,15 @@
         val out = spec.commandLine().out
         when {
             markdown -> out.println(ResultCodeTable.markdown())
-            output.format == OutputFormat.JSON -> out.println(Json.encodeToString(ResultCode.entries.map(::row)))
+            output.format == OutputFormat.JSON -> out.println(Json.encodeToString(ResultCode.entries.map(::toRow)))
             else -> out.println(ResultCodeTable.text())
         }
     }
 
-    private fun row(code: ResultCode): ResultCodeRow =
+    private fun toRow(code: ResultCode): ResultCodeRow =
         ResultCodeRow(code.number, code.name, code.work.label, code.httpStatus, code.exitCode, code.meaning)
 
-    /** One row of the JSON output. */
+    /** One element of the JSON array. */
     @Serializable
     internal data class ResultCodeRow(
         val code: Int,
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/CommandLineFactory.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/CommandLineFactory.kt
@@ -3,23 +3,23 @@
 import io.sequoiawheel.core.model.ResultCode
 import picocli.CommandLine
 
-/** Builds the command line with the exit codes of the result-code table. */
+/** Creates the command line. Its exit codes are those of [ResultCode]. */
 object CommandLineFactory {
-    /** Returns a command line that prints errors to standard error and never throws from `execute`. */
+    /** Returns a command line whose `execute` prints errors to standard error instead of throwing them. */
     fun create(): CommandLine =
         CommandLine(RootCommand())
             .setCaseInsensitiveEnumValuesAllowed(true)
-            .setParameterExceptionHandler { error, _ -> reportUsage(error) }
-            .setExecutionExceptionHandler { error, commandLine, _ -> reportFailure(error, commandLine) }
+            .setParameterExceptionHandler { error, _ -> handleUsageError(error) }
+            .setExecutionExceptionHandler { error, commandLine, _ -> handleExecutionError(error, commandLine) }
 
-    private fun reportUsage(error: CommandLine.ParameterException): Int {
+    private fun handleUsageError(error: CommandLine.ParameterException): Int {
         val commandLine = error.commandLine
         commandLine.err.println("${ResultCode.USAGE.number} ${ResultCode.USAGE.name}: ${error.message}")
         commandLine.usage(commandLine.err)
         return ResultCode.USAGE.exitCode
     }
 
-    private fun reportFailure(
+    private fun handleExecutionError(
         error: Exception,
         commandLine: CommandLine,
     ): Int {
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentAuditCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentAuditCommand.kt
@@ -11,15 +11,15 @@
 import picocli.CommandLine.Spec
 import java.time.Instant
 
-/** Prints the accepted changes of a service. */
+/** Prints the audit trail of a service: its accepted changes. */
 @Command(
     name = "audit",
     mixinStandardHelpOptions = true,
-    description = ["Print who changed a service document, when, and what changed; the last 50 accepted changes."],
+    description = ["Print the last 50 accepted changes of a service document: author, time and difference."],
     footer = ["", "Example: sequoiawheel document audit wheel-writers --platform http://127.0.0.1:7000"],
 )
 class DocumentAuditCommand : Runnable {
-    @Parameters(paramLabel = "SERVICE", description = ["The name of the service."])
+    @Parameters(paramLabel = "SERVICE", description = ["Name of the service."])
     private lateinit var service: String
 
     @Mixin
@@ -32,16 +32,16 @@
     private lateinit var spec: CommandSpec
 
     override fun run() {
-        val entries = platform.use { ConfigurationReader(it).audit(ServiceName(service)) }.orFail()
+        val entries = platform.use { ConfigurationReader(it).audit(ServiceName(service)) }.orThrow()
         val out = spec.commandLine().out
         when (output.format) {
             OutputFormat.JSON -> out.println(Json.encodeToString(entries))
-            OutputFormat.TABLE -> out.println(TextTable.format(header, entries.map(::row)))
+            OutputFormat.TABLE -> out.println(TextTable.format(header, entries.map(::toRow)))
         }
         out.flush()
     }
 
-    private fun row(entry: AuditEntry): List<String> =
+    private fun toRow(entry: AuditEntry): List<String> =
         listOf(
             entry.generation.toString(),
             Instant.ofEpochMilli(entry.atEpochMillis).toString(),
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentCheckCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentCheckCommand.kt
@@ -6,15 +6,15 @@
 import picocli.CommandLine.Spec
 import java.nio.file.Path
 
-/** Checks a service document without any connection. */
+/** Validates a service document without connecting to the platform. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
-    description = ["Check a service document offline and print every fault with its path."],
+    description = ["Validate a service document offline and print each fault with its JSON path."],
     footer = ["", "Example: sequoiawheel document check writers.json"],
 )
 class DocumentCheckCommand : Runnable {
-    @Parameters(paramLabel = "FILE", description = ["The document as JSON."])
+    @Parameters(paramLabel = "FILE", description = ["Document file in JSON."])
     private lateinit var file: Path
 
     @Spec
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentCommand.kt
@@ -5,11 +5,11 @@
 import picocli.CommandLine.Model.CommandSpec
 import picocli.CommandLine.Spec
 
-/** Everything that operators do with service documents. */
+/** Groups the subcommands with which operators manage service documents. */
 @Command(
     name = "document",
     mixinStandardHelpOptions = true,
-    description = ["Check, write, read and watch service documents, their status and their audit trail."],
+    description = ["Check, write, read and watch service documents, and print their status and audit trail."],
     subcommands = [
         DocumentAuditCommand::class,
         DocumentCheckCommand::class,
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentFile.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentFile.kt
@@ -8,7 +8,7 @@
 
 /** Reads service documents from files. */
 internal object DocumentFile {
-    /** Returns the valid document in [file]; throws [CommandFailure] with every fault otherwise. */
+    /** Returns the document in [file]. Throws [CommandFailure] with all faults if the document is invalid. */
     fun read(file: Path): ServiceDocument =
         DocumentCodec.decode(TextFile.read(file, ResultCode.USAGE)).getOrElse { faults ->
             val detail = faults.joinToString("\n", "$file\n") { "  ${it.path}: ${it.problem}" }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentGetCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentGetCommand.kt
@@ -8,15 +8,15 @@
 import picocli.CommandLine.Parameters
 import picocli.CommandLine.Spec
 
-/** Prints a service document as its owners last wrote it, accepted or not. */
+/** Prints the latest version of a service document, whether or not it was accepted. */
 @Command(
     name = "get",
     mixinStandardHelpOptions = true,
-    description = ["Print the service document as it was last written; its version goes to standard error."],
+    description = ["Print the latest version of a service document; the version number goes to standard error."],
     footer = ["", "Example: sequoiawheel document get wheel-writers --platform http://127.0.0.1:7000 > writers.json"],
 )
 class DocumentGetCommand : Runnable {
-    @Parameters(paramLabel = "SERVICE", description = ["The name of the service."])
+    @Parameters(paramLabel = "SERVICE", description = ["Name of the service."])
     private lateinit var service: String
 
     @Mixin
@@ -26,7 +26,7 @@
     private lateinit var spec: CommandSpec
 
     override fun run() {
-        val stored = platform.use { it.get(ObjectKey(ObjectKind.DOCUMENT, service)) }.orFail()
+        val stored = platform.use { it.get(ObjectKey(ObjectKind.DOCUMENT, service)) }.orThrow()
         val commandLine = spec.commandLine()
         commandLine.err.println("version ${stored.version}")
         commandLine.out.println(stored.value)
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentPutCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentPutCommand.kt
@@ -8,24 +8,24 @@
 import picocli.CommandLine.Spec
 import java.nio.file.Path
 
-/** Writes a service document after checking it offline. */
+/** Validates a service document offline, then writes it. */
 @Command(
     name = "put",
     mixinStandardHelpOptions = true,
     description = [
-        "Check a service document and write it by conditional update.",
-        "It is in force once an entry daemon has accepted it; see 'document status'.",
+        "Validate a service document and write it with a conditional update.",
+        "It comes into force after an entry daemon has accepted it; see 'document status'.",
     ],
     footer = ["", "Example: sequoiawheel document put writers.json --platform http://127.0.0.1:7000"],
 )
 class DocumentPutCommand : Runnable {
-    @Parameters(paramLabel = "FILE", description = ["The document as JSON."])
+    @Parameters(paramLabel = "FILE", description = ["Document file in JSON."])
     private lateinit var file: Path
 
     @Option(
         names = ["--expected-version"],
         paramLabel = "VERSION",
-        description = ["Write only over this version; 0 for a new document (default: whatever is current)."],
+        description = ["Version to replace; 0 for a new document (default: the current version)."],
     )
     private var expectedVersion: Long? = null
 
@@ -37,7 +37,7 @@
 
     override fun run() {
         val document = DocumentFile.read(file)
-        val version = platform.use { DocumentWriter(it).write(document, expectedVersion) }.orFail()
+        val version = platform.use { DocumentWriter(it).write(document, expectedVersion) }.orThrow()
         val out = spec.commandLine().out
         out.println("${document.service}: version $version written")
         out.flush()
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentStatusCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentStatusCommand.kt
@@ -18,18 +18,18 @@
 import picocli.CommandLine.Spec
 import java.util.concurrent.Callable
 
-/** Prints the verdict on the latest document of a service and where the accepted one is in force. */
+/** Prints whether the latest document of a service was accepted, and the generation in force in each zone. */
 @Command(
     name = "status",
     mixinStandardHelpOptions = true,
     description = [
-        "Print the verdict on the latest document and the generation in force in each zone.",
-        "Ends with the exit code of DOCUMENT_REJECTED or NOT_YET_IN_FORCE where that is the case.",
+        "Print whether the latest document was accepted and the generation in force in each availability zone.",
+        "The exit code is that of DOCUMENT_REJECTED or NOT_YET_IN_FORCE if one of them applies.",
     ],
     footer = ["", "Example: sequoiawheel document status wheel-writers --platform http://127.0.0.1:7000"],
 )
 class DocumentStatusCommand : Callable<Int> {
-    @Parameters(paramLabel = "SERVICE", description = ["The name of the service."])
+    @Parameters(paramLabel = "SERVICE", description = ["Name of the service."])
     private lateinit var service: String
 
     @Mixin
@@ -42,29 +42,29 @@
     private lateinit var spec: CommandSpec
 
     override fun call(): Int {
-        val result = platform.use { read(it) }.orFail()
+        val result = platform.use { readStatus(it) }.orThrow()
         val out = spec.commandLine().out
         when (output.format) {
             OutputFormat.JSON -> out.println(Json.encodeToString(result))
-            OutputFormat.TABLE -> out.println(table(result))
+            OutputFormat.TABLE -> out.println(formatTable(result))
         }
         out.flush()
         return exitCode(result)
     }
 
-    private suspend fun read(api: ObjectApi): Either<Failure, ServiceStatus> {
+    private suspend fun readStatus(api: ObjectApi): Either<Failure, ServiceStatus> {
         val reader = ConfigurationReader(api)
         return reader.status(ServiceName(service)).flatMap { verdict ->
-            reader.inForce().map { zones -> ServiceStatus(verdict, zones.map { zone(it) }) }
+            reader.inForce().map { zones -> ServiceStatus(verdict, zones.map { zoneStatus(it) }) }
         }
     }
 
-    private fun zone(status: InForceStatus): ZoneStatus {
+    private fun zoneStatus(status: InForceStatus): ZoneStatus {
         val generation = status.report.lowest[ServiceName(service)] ?: 0
         return ZoneStatus(status.zone.value, generation, status.report.instances, status.expectedInstances)
     }
 
-    private fun table(result: ServiceStatus): String {
+    private fun formatTable(result: ServiceStatus): String {
         val verdict = result.verdict
         val summary =
             "${verdict.service}: version ${verdict.documentVersion} ${verdict.verdict.name.lowercase()}, " +
@@ -79,7 +79,7 @@
     private fun exitCode(result: ServiceStatus): Int =
         when {
             result.verdict.verdict == DocumentStatus.Verdict.REJECTED -> ResultCode.DOCUMENT_REJECTED.exitCode
-            result.zones.isEmpty() || result.zones.any { !it.confirms(result.verdict.generation) } ->
+            result.zones.isEmpty() || result.zones.any { !it.isInForce(result.verdict.generation) } ->
                 ResultCode.NOT_YET_IN_FORCE.exitCode
             else -> ResultCode.OK.exitCode
         }
@@ -91,7 +91,7 @@
         val zones: List<ZoneStatus>,
     )
 
-    /** What one zone reports; [generation] is the lowest in force at its instances. */
+    /** The report of one availability zone; [generation] is the lowest in force at any of its instances. */
     @Serializable
     internal data class ZoneStatus(
         val zone: String,
@@ -99,6 +99,6 @@
         val instances: Int,
         val expectedInstances: Int,
     ) {
-        fun confirms(accepted: Long): Boolean = generation >= accepted && instances >= expectedInstances
+        fun isInForce(accepted: Long): Boolean = generation >= accepted && instances >= expectedInstances
     }
 }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentWatchCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentWatchCommand.kt
@@ -13,11 +13,11 @@
 import java.time.Duration
 import java.time.Instant
 
-/** Prints each accepted change as it happens. */
+/** Prints the accepted documents, then each newly accepted change. */
 @Command(
     name = "watch",
     mixinStandardHelpOptions = true,
-    description = ["Print the current accepted documents and then each accepted change, one line each."],
+    description = ["Print the accepted documents and then each newly accepted change, one per line."],
     footer = ["", "Example: sequoiawheel document watch --for PT5M --platform http://127.0.0.1:7000"],
 )
 class DocumentWatchCommand : Runnable {
@@ -41,11 +41,11 @@
         val end = Instant.now() + duration
         var revision = 0L
         while (Instant.now() < end) {
-            val waitMillis = Duration.between(Instant.now(), end).toMillis().coerceIn(1, LONGEST_WAIT_MILLIS)
+            val waitMillis = Duration.between(Instant.now(), end).toMillis().coerceIn(1, MAXIMUM_WAIT_MILLIS)
             api.watch(ObjectKind.ACCEPTED, revision, waitMillis).fold(
                 { failure ->
                     spec.commandLine().err.println("${failure.code.number} ${failure.code.name}: ${failure.detail}")
-                    delay(PAUSE_MILLIS)
+                    delay(RETRY_DELAY_MILLIS)
                 },
                 { listing ->
                     listing.objects.forEach { print(it) }
@@ -56,7 +56,7 @@
     }
 
     private fun print(stored: StoredObject) {
-        val accepted = AcceptedDocument.decode(stored.value).orFail()
+        val accepted = AcceptedDocument.decode(stored.value).orThrow()
         val entry = accepted.audit.lastOrNull()
         val out = spec.commandLine().out
         out.println("${accepted.service} generation ${accepted.generation} by ${entry?.author ?: "unknown"}")
@@ -64,7 +64,7 @@
     }
 
     private companion object {
-        const val LONGEST_WAIT_MILLIS = 20_000L
-        const val PAUSE_MILLIS = 2_000L
+        const val MAXIMUM_WAIT_MILLIS = 20_000L
+        const val RETRY_DELAY_MILLIS = 2_000L
     }
 }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentWriter.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/DocumentWriter.kt
@@ -11,13 +11,13 @@
 import io.sequoiawheel.core.platform.ObjectKey
 import io.sequoiawheel.core.platform.ObjectKind
 
-/** Writes service documents by conditional update and resolves lost answers by reading back. */
+/** Writes service documents with conditional updates. If a response is lost, reads the document back. */
 internal class DocumentWriter(
     private val api: ObjectApi,
 ) {
     /**
      * Writes [document] over [expectedVersion], or over the current version if that is null, and returns the new
-     * version. Fails with `DOCUMENT_CONFLICT` if someone else wrote first.
+     * version. Fails with `DOCUMENT_CONFLICT` if another writer changed the document first.
      */
     suspend fun write(
         document: ServiceDocument,
@@ -43,14 +43,14 @@
         version: Long,
     ): Either<Failure, Long> =
         api.get(key).fold(
-            { Failure(ResultCode.PLATFORM_UNAVAILABLE, "the write got no answer and could not be read back").left() },
+            { Failure(ResultCode.PLATFORM_UNAVAILABLE, "the write got no response and could not be read back").left() },
             { found ->
                 when {
                     found.value == text && found.version > version -> found.version.right()
                     found.version == version ->
                         Failure(
                             ResultCode.PLATFORM_UNAVAILABLE,
-                            "the write had no effect",
+                            "the write did not take effect",
                         ).left()
                     else -> Failure(ResultCode.DOCUMENT_CONFLICT).left()
                 }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/ExperimentCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/ExperimentCommand.kt
@@ -15,28 +15,28 @@
 import java.util.Locale
 import java.util.concurrent.Callable
 
-/** Runs one experiment and prints its figures; broken promises end it with the exit code of PROMISE_BROKEN. */
+/** Runs one experiment and prints its figures. Violated guarantees set the exit code of PROMISE_BROKEN. */
 @Command(
     name = "experiment",
     mixinStandardHelpOptions = true,
-    description = ["Run an experiment in virtual time and report broken promises."],
+    description = ["Run an experiment in virtual time and report violated guarantees."],
     footer = ["", "Example: sequoiawheel experiment memory-pressure --seed 7 --load 1.1 --output json"],
 )
 class ExperimentCommand : Callable<Int> {
     @Parameters(
         paramLabel = "NAME",
         completionCandidates = ExperimentNames::class,
-        description = ["The experiment: \${COMPLETION-CANDIDATES}."],
+        description = ["Name of the experiment: \${COMPLETION-CANDIDATES}."],
     )
     private lateinit var name: String
 
-    @Option(names = ["--seed"], defaultValue = "1", description = ["Seed of every random number (default: 1)."])
+    @Option(names = ["--seed"], defaultValue = "1", description = ["Seed of the random numbers (default: 1)."])
     private var seed = 1L
 
     @Option(
         names = ["--load"],
         defaultValue = "0.9",
-        description = ["Offered work as a share of capacity, for experiments that have one (default: 0.9)."],
+        description = ["Offered load as a fraction of capacity, for experiments that use it (default: 0.9)."],
     )
     private var load = 0.0
 
@@ -48,9 +48,9 @@
 
     override fun call(): Int {
         if (load !in MINIMUM_LOAD..MAXIMUM_LOAD) {
-            throw CommandFailure(ResultCode.USAGE, "--load must be $MINIMUM_LOAD to $MAXIMUM_LOAD")
+            throw CommandFailure(ResultCode.USAGE, "--load must be between $MINIMUM_LOAD and $MAXIMUM_LOAD")
         }
-        val report = find().run(ExperimentOptions(seed, load))
+        val report = findExperiment().run(ExperimentOptions(seed, load))
         val out = spec.commandLine().out
         when (output.format) {
             OutputFormat.JSON -> out.println(json.encodeToString(report))
@@ -60,11 +60,11 @@
         return if (report.violations.isEmpty()) ResultCode.OK.exitCode else ResultCode.PROMISE_BROKEN.exitCode
     }
 
-    private fun find(): Experiment =
+    private fun findExperiment(): Experiment =
         Experiments.named(name)
             ?: throw CommandFailure(
                 ResultCode.USAGE,
-                "no experiment '$name'; there are ${Experiments.all.joinToString { it.name }}",
+                "unknown experiment '$name'; available: ${Experiments.all.joinToString { it.name }}",
             )
 
     private fun formatTable(report: ExperimentReport): String {
@@ -75,7 +75,7 @@
                 .distinct()
         val rows = figures.map { figure -> listOf(figure) + policies.map { cell(report.policies[it]?.get(figure)) } }
         val parameters = report.parameters.entries.joinToString { "${it.key} ${cell(it.value)}" }
-        val promises =
+        val violationText =
             if (report.violations.isEmpty()) {
                 "no violations"
             } else {
@@ -84,7 +84,7 @@
                 ) { "violation: $it" }
             }
         val title = "${report.experiment}, seed ${report.seed}" + if (parameters.isEmpty()) "" else ", $parameters"
-        return listOf(title, TextTable.format(listOf("figure") + policies, rows), promises).joinToString("\n")
+        return listOf(title, TextTable.format(listOf("figure") + policies, rows), violationText).joinToString("\n")
     }
 
     private fun cell(value: Double?): String =
@@ -94,13 +94,13 @@
             else -> String.format(Locale.ROOT, "%.3f", value)
         }
 
-    /** The names of all experiments, for help and completion. */
+    /** Lists the names of all experiments for the help text and shell completion. */
     internal class ExperimentNames : Iterable<String> {
         override fun iterator(): Iterator<String> = Experiments.all.map { it.name }.iterator()
     }
 
     private companion object {
-        // An empty list of violations is part of the answer.
+        // Writes an empty list of violations too, which is a default value.
         val json = Json { encodeDefaults = true }
         const val MINIMUM_LOAD = 0.05
         const val MAXIMUM_LOAD = 3.0
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/Main.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/Main.kt
@@ -1,12 +1,12 @@
 /*
- * The command line `sequoiawheel`. Results go to standard output, JSON-line logs to standard error, and the exit code
- * of a failure is the one of its result code.
+ * Entry point of the `sequoiawheel` command line. Results go to standard output and logs, as JSON lines, to standard
+ * error. A failed command exits with the exit code of its result code.
  */
 package io.sequoiawheel.cli
 
 import kotlin.system.exitProcess
 
-/** Runs the command line and ends the process with its exit code. */
+/** Executes the command line and exits with its exit code. */
 fun main(arguments: Array<String>) {
     exitProcess(CommandLineFactory.create().execute(*arguments))
 }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/OutputFormat.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/OutputFormat.kt
@@ -1,10 +1,10 @@
 package io.sequoiawheel.cli
 
-/** How a command prints its result. */
+/** Output format of a command's result. */
 enum class OutputFormat {
-    /** Aligned columns for people. */
+    /** Human-readable text with aligned columns. */
     TABLE,
 
-    /** One JSON value for programs. */
+    /** A single JSON value. */
     JSON,
 }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/OutputOptions.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/OutputOptions.kt
@@ -2,13 +2,13 @@
 
 import picocli.CommandLine.Option
 
-/** The option `--output`, shared by every command that prints a result. */
+/** The option `--output`, shared by the commands that print a result. */
 class OutputOptions {
     @Option(
         names = ["--output"],
         paramLabel = "FORMAT",
         defaultValue = "table",
-        description = ["How to print the result: \${COMPLETION-CANDIDATES} (default: table)."],
+        description = ["Output format: \${COMPLETION-CANDIDATES} (default: table)."],
     )
     lateinit var format: OutputFormat
 }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/RelayCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/RelayCommand.kt
@@ -16,19 +16,19 @@
     name = "relay",
     mixinStandardHelpOptions = true,
     description = [
-        "Run one entry instance on the platform: requests are relayed unchanged to registered replicas.",
-        "SIGTERM lets requests in progress finish; SIGHUP reads the settings again.",
+        "Run one entry instance on the platform, which forwards requests unchanged to registered replicas.",
+        "SIGTERM shuts it down after the requests in progress; SIGHUP reloads the settings.",
     ],
     footer = ["", "Example: sequoiawheel relay --settings node.json --metrics-port 9464"],
 )
 class RelayCommand : Callable<Int> {
-    @Option(names = ["--settings"], paramLabel = "FILE", required = true, description = ["The platform's settings."])
-    private lateinit var file: String
+    @Option(names = ["--settings"], paramLabel = "FILE", required = true, description = ["Platform settings file."])
+    private lateinit var settingsFile: String
 
-    @Option(names = ["--metrics-port"], paramLabel = "PORT", description = ["Serve the metrics on this port too."])
+    @Option(names = ["--metrics-port"], paramLabel = "PORT", description = ["Also serve the metrics on this port."])
     private var metricsPort: Int? = null
 
-    @Option(names = ["--check"], description = ["Check the settings and exit."])
+    @Option(names = ["--check"], description = ["Validate the settings and exit."])
     private var isCheckOnly = false
 
     @Spec
@@ -36,14 +36,14 @@
 
     override fun call(): Int {
         try {
-            if (!isCheckOnly) return RelayProcess(file, metricsPort).run()
-            RelayProcess.readSettings(file)
-            spec.commandLine().out.println("$file: valid")
+            if (!isCheckOnly) return RelayProcess(settingsFile, metricsPort).run()
+            RelayProcess.readSettings(settingsFile)
+            spec.commandLine().out.println("$settingsFile: valid")
             return 0
         } catch (unreadable: UnreadableDocumentException) {
-            throw CommandFailure(Failure(ResultCode.INVALID_SETTINGS, "$file: ${unreadable.message}"))
+            throw CommandFailure(Failure(ResultCode.INVALID_SETTINGS, "$settingsFile: ${unreadable.message}"))
         } catch (failure: IOException) {
-            throw CommandFailure(Failure(ResultCode.INVALID_SETTINGS, "$file: ${failure.message}"))
+            throw CommandFailure(Failure(ResultCode.INVALID_SETTINGS, "$settingsFile: ${failure.message}"))
         }
     }
 }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/ReportCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/ReportCommand.kt
@@ -7,11 +7,11 @@
 import picocli.CommandLine.Spec
 import java.nio.file.Path
 
-/** Draws the plots of the documentation. */
+/** Draws the plots that the documentation shows. */
 @Command(
     name = "report",
     mixinStandardHelpOptions = true,
-    description = ["Run memory-pressure at several loads, measure control costs, and draw the plots of docs/plots."],
+    description = ["Run memory-pressure at several loads, measure control costs and draw the plots of docs/plots."],
     footer = ["", "Example: sequoiawheel report --directory docs/plots"],
 )
 class ReportCommand : Runnable {
@@ -19,11 +19,11 @@
         names = ["--directory"],
         paramLabel = "DIRECTORY",
         defaultValue = "docs/plots",
-        description = ["Where to write the PNG files (default: docs/plots)."],
+        description = ["Directory for the PNG files (default: docs/plots)."],
     )
     private lateinit var directory: Path
 
-    @Option(names = ["--seed"], defaultValue = "1", description = ["Seed of every random number (default: 1)."])
+    @Option(names = ["--seed"], defaultValue = "1", description = ["Seed of the random numbers (default: 1)."])
     private var seed = 1L
 
     @Spec
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/ResultCodeTable.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/ResultCodeTable.kt
@@ -2,7 +2,7 @@
 
 import io.sequoiawheel.core.model.ResultCode
 
-/** The table of result codes as text and as the page docs/result-codes.md. */
+/** Formats the table of result codes, as text and as the page docs/result-codes.md. */
 internal object ResultCodeTable {
     private val header = listOf("code", "name", "work", "HTTP", "exit", "meaning")
 
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/RootCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/RootCommand.kt
@@ -7,12 +7,12 @@
 import picocli.CommandLine.Model.CommandSpec
 import picocli.CommandLine.Spec
 
-/** The program itself; it only has subcommands. */
+/** The root command. It only groups subcommands. */
 @Command(
     name = "sequoiawheel",
     mixinStandardHelpOptions = true,
     version = ["sequoiawheel 0.1.0"],
-    description = ["Serves generations of unknown length from crowded model engines, and calls to plain services."],
+    description = ["Routes generations of unknown length to highly loaded model engines, and calls to plain services."],
     footer = [
         "",
         "Examples:",
@@ -42,7 +42,7 @@
     override fun run(): Unit = throw CommandLine.ParameterException(spec.commandLine(), "a command is required")
 }
 
-/** Prints the completion script for bash and zsh. */
+/** Prints a completion script for bash and zsh. */
 @Command(name = "completion", description = ["Print a completion script for bash and zsh."])
 class CompletionCommand : Runnable {
     @Spec
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/StandInsCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/StandInsCommand.kt
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Spec
 import java.nio.file.Path
 
-/** Runs the stand-ins of a deployment until SIGTERM or SIGINT. */
+/** Runs the stand-ins for the platform and backend servers of a deployment until SIGTERM or SIGINT. */
 @Command(
     name = "stand-ins",
     mixinStandardHelpOptions = true,
@@ -38,31 +38,31 @@
     private lateinit var spec: CommandSpec
 
     override fun run() {
-        val settings = source.preset?.let(::preset) ?: read(checkNotNull(source.file))
+        val settings = source.preset?.let(::findPreset) ?: readSettings(checkNotNull(source.file))
         val out = spec.commandLine().out
         if (isPrintOnly) {
             out.println(json.encodeToString(settings))
             return
         }
-        val signal = StopSignal()
-        val stands = StandInSet(settings)
-        runBlocking { stands.start() }
-        out.println("object store ${stands.objectStore?.baseUrl ?: "none"}")
-        out.println("instance list ${stands.instanceList?.baseUrl ?: "none"}")
-        out.println("weight store ${stands.weightStore?.baseUrl ?: "none"}")
-        stands.engines.forEach { (id, server) -> out.println("engine $id ${server.baseUrl}") }
-        stands.plainServices.forEach { (id, server) -> out.println("plain service $id ${server.baseUrl}") }
+        val stopSignal = StopSignal()
+        val standIns = StandInSet(settings)
+        runBlocking { standIns.start() }
+        out.println("object store ${standIns.objectStore?.baseUrl ?: "none"}")
+        out.println("instance list ${standIns.instanceList?.baseUrl ?: "none"}")
+        out.println("weight store ${standIns.weightStore?.baseUrl ?: "none"}")
+        standIns.engines.forEach { (id, server) -> out.println("engine $id ${server.baseUrl}") }
+        standIns.plainServices.forEach { (id, server) -> out.println("plain service $id ${server.baseUrl}") }
         out.println("ready")
         out.flush()
-        signal.await()
-        runBlocking { stands.close() }
+        stopSignal.await()
+        runBlocking { standIns.close() }
     }
 
-    private fun preset(name: String): StandInSettings =
+    private fun findPreset(name: String): StandInSettings =
         StandInPresets.named(name)
-            ?: throw CommandFailure(ResultCode.USAGE, "no preset '$name'; there are ${StandInPresets.names}")
+            ?: throw CommandFailure(ResultCode.USAGE, "unknown preset '$name'; available: ${StandInPresets.names}")
 
-    private fun read(file: Path): StandInSettings {
+    private fun readSettings(file: Path): StandInSettings {
         val settings =
             try {
                 json.decodeFromString<StandInSettings>(TextFile.read(file, ResultCode.INVALID_SETTINGS))
@@ -74,12 +74,12 @@
         return settings
     }
 
-    /** Where the settings come from: exactly one of the two. */
+    /** Source of the settings. Exactly one option must be given. */
     internal class Source {
-        @Option(names = ["--preset"], paramLabel = "NAME", description = ["The deployment: kelani or manjadi."])
+        @Option(names = ["--preset"], paramLabel = "NAME", description = ["Deployment preset: kelani or manjadi."])
         var preset: String? = null
 
-        @Option(names = ["--settings"], paramLabel = "FILE", description = ["The settings as JSON."])
+        @Option(names = ["--settings"], paramLabel = "FILE", description = ["Settings file in JSON."])
         var file: Path? = null
     }
 
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/StopSignal.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/StopSignal.kt
@@ -4,8 +4,8 @@
 import java.util.concurrent.CountDownLatch
 
 /**
- * Waits for SIGTERM or SIGINT without starting the shutdown of the virtual machine. A shutdown hook would run beside
- * those of the libraries, which close the servers at once, and the process could not end with exit code 0.
+ * Waits for SIGTERM or SIGINT without starting the shutdown of the JVM. A shutdown hook would run concurrently with
+ * those of the libraries, which close the servers immediately, and the process could not exit with code 0.
  */
 class StopSignal {
     private val received = CountDownLatch(1)
@@ -14,6 +14,6 @@
         listOf("TERM", "INT").forEach { name -> Signal.handle(Signal(name)) { received.countDown() } }
     }
 
-    /** Blocks the thread until the first signal. */
+    /** Blocks the calling thread until the first signal arrives. */
     fun await() = received.await()
 }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/TextFile.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/TextFile.kt
@@ -5,9 +5,9 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** Reads text files named on the command line. */
+/** Reads text files given on the command line. */
 internal object TextFile {
-    /** Returns the text of [file]; an unreadable file ends the command with [code]. */
+    /** Returns the content of [file]. Throws [CommandFailure] with [code] if the file cannot be read. */
     fun read(
         file: Path,
         code: ResultCode,
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/demo/CallerClient.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/demo/CallerClient.kt
@@ -25,88 +25,88 @@
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.jsonObject
 
-/** The callers' side of the HTTP interface, as a script of a caller would use it. */
+/** HTTP client for the callers' interface of an entry instance. */
 internal class CallerClient : AutoCloseable {
     private val http =
         HttpClient(CIO) {
             expectSuccess = false
             engine {
                 requestTimeout = 0
-                maxConnectionsCount = CONNECTIONS
-                endpoint.maxConnectionsPerRoute = CONNECTIONS
+                maxConnectionsCount = MAXIMUM_CONNECTIONS
+                endpoint.maxConnectionsPerRoute = MAXIMUM_CONNECTIONS
             }
         }
 
-    /** One server-sent event. */
+    /** A server-sent event. */
     class Event(
         val name: String,
         val id: Int?,
         val data: JsonObject,
     )
 
-    /** Posts [body] and returns the JSON answer, or null if the connection ended without one. */
+    /** Posts [body] and returns the JSON response, or null if the request failed without one. */
     suspend fun post(
         url: String,
         workspace: WorkspaceName,
         requestId: String,
         body: JsonElement,
-        key: String? = null,
+        idempotencyKey: String? = null,
     ): JsonObject? =
-        guarded {
+        nullOnFailure {
             val response =
                 http.post(url) {
-                    identify(workspace, requestId)
-                    key?.let { header("Idempotency-Key", it) }
+                    addCallerHeaders(workspace, requestId)
+                    idempotencyKey?.let { header("Idempotency-Key", it) }
                     setBody(TextContent(body.toString(), ContentType.Application.Json))
                 }
             Json.parseToJsonElement(response.bodyAsText()).jsonObject
         }
 
-    /** Returns the JSON answer at [url], or null if the connection ended without one. */
+    /** Gets [url] and returns the JSON response, or null if the request failed without one. */
     suspend fun get(
         url: String,
         workspace: WorkspaceName,
         requestId: String,
     ): JsonObject? =
-        guarded {
-            val response = http.get(url) { identify(workspace, requestId) }
+        nullOnFailure {
+            val response = http.get(url) { addCallerHeaders(workspace, requestId) }
             Json.parseToJsonElement(response.bodyAsText()).jsonObject
         }
 
     /**
-     * Posts a generation and hands its events to [take] until that returns false or the connection ends. A refusal in
-     * JSON is handed on as an event named `error`.
+     * Posts a generation and passes each event to [onEvent] until that returns false or the connection ends. A
+     * rejection in JSON is passed as an event named `error`.
      */
     suspend fun postStream(
         url: String,
         workspace: WorkspaceName,
         requestId: String,
         body: JsonElement,
-        take: suspend (Event) -> Boolean,
-    ) = stream(take) {
+        onEvent: suspend (Event) -> Boolean,
+    ) = stream(onEvent) {
         http.preparePost(url) {
-            identify(workspace, requestId)
+            addCallerHeaders(workspace, requestId)
             setBody(TextContent(body.toString(), ContentType.Application.Json))
         }
     }
 
-    /** Continues a stream after offset [last], or from its start if that is null. */
+    /** Resumes a stream after offset [lastOffset], or from its start if that is null. */
     suspend fun resumeStream(
         url: String,
         workspace: WorkspaceName,
         requestId: String,
-        last: Int?,
-        take: suspend (Event) -> Boolean,
-    ) = stream(take) {
+        lastOffset: Int?,
+        onEvent: suspend (Event) -> Boolean,
+    ) = stream(onEvent) {
         http.prepareGet(url) {
-            identify(workspace, requestId)
-            last?.let { header("Last-Event-ID", it) }
+            addCallerHeaders(workspace, requestId)
+            lastOffset?.let { header("Last-Event-ID", it) }
         }
     }
 
     override fun close() = http.close()
 
-    private fun HttpRequestBuilder.identify(
+    private fun HttpRequestBuilder.addCallerHeaders(
         workspace: WorkspaceName,
         requestId: String,
     ) {
@@ -115,19 +115,19 @@
     }
 
     private suspend fun stream(
-        take: suspend (Event) -> Boolean,
-        prepare: suspend () -> HttpStatement,
+        onEvent: suspend (Event) -> Boolean,
+        prepareRequest: suspend () -> HttpStatement,
     ) {
-        guarded {
-            prepare().execute { response ->
+        nullOnFailure {
+            prepareRequest().execute { response ->
                 if (response.headers["Content-Type"]?.startsWith("text/event-stream") != true) {
-                    take(Event("error", null, Json.parseToJsonElement(response.bodyAsText()).jsonObject))
+                    onEvent(Event("error", null, Json.parseToJsonElement(response.bodyAsText()).jsonObject))
                     return@execute
                 }
                 val channel = response.bodyAsChannel()
                 while (true) {
                     val event = readEvent(channel) ?: return@execute
-                    if (!take(event)) return@execute
+                    if (!onEvent(event)) return@execute
                 }
             }
         }
@@ -146,7 +146,7 @@
         }
     }
 
-    private suspend fun <T> guarded(block: suspend () -> T): T? =
+    private suspend fun <T> nullOnFailure(block: suspend () -> T): T? =
         try {
             block()
         } catch (error: CancellationException) {
@@ -157,6 +157,6 @@
         }
 
     private companion object {
-        const val CONNECTIONS = 2_000
+        const val MAXIMUM_CONNECTIONS = 2_000
     }
 }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/demo/ConfigurationOperator.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/demo/ConfigurationOperator.kt
@@ -18,58 +18,61 @@
 import kotlinx.coroutines.delay
 import java.util.concurrent.ConcurrentHashMap
 
-/** Puts service documents as operators do, and checks that accepted ones come into force everywhere and stay (P9). */
+/** Writes service documents and checks that accepted ones come into force at every entry instance and stay (P9). */
 internal class ConfigurationOperator(
     private val plan: DemoPlan,
     private val api: ObjectApi,
-    private val notes: DemoNotes,
+    private val recorder: DemoRecorder,
     private val entryCount: () -> Int,
 ) {
     private val reader = ConfigurationReader(api)
     private val accepted = ConcurrentHashMap<ServiceName, AcceptedDocument>()
     private val highestInForce = ConcurrentHashMap<Pair<String, ServiceName>, Long>()
 
-    /** Writes [document] over the current one and waits until it is accepted. */
+    /** Replaces the current document with [document] and waits until it is accepted. */
     suspend fun put(document: ServiceDocument): AcceptedDocument {
         val key = ObjectKey(ObjectKind.DOCUMENT, document.service.value)
         val text = DocumentCodec.encode(document)
         val version = write(key, text)
-        val deadline = notes.now() + ACCEPTANCE_MILLIS
-        while (notes.now() < deadline) {
+        val deadline = recorder.now() + ACCEPTANCE_MILLIS
+        while (recorder.now() < deadline) {
             readAccepted(document.service)?.takeIf { it.documentVersion >= version }?.let { found ->
-                noteAccepted(found)
+                recordAccepted(found)
                 return found
             }
             delay(POLL_MILLIS)
         }
         throw CommandFailure(
             ResultCode.NOT_YET_IN_FORCE,
-            "${document.service} was not accepted in $ACCEPTANCE_MILLIS ms",
+            "${document.service} was not accepted within $ACCEPTANCE_MILLIS ms",
         )
     }
 
-    /** Waits until [document] is in force at every entry instance; notes a violation if that takes too long. */
+    /** Waits until [document] is in force at every entry instance. Records a violation if that takes too long. */
     suspend fun awaitInForce(document: AcceptedDocument): Long {
-        val started = notes.now()
-        while (notes.now() - started < IN_FORCE_MILLIS) {
+        val startMillis = recorder.now()
+        while (recorder.now() - startMillis < IN_FORCE_MILLIS) {
             val statuses = readInForce()
             val generations = statuses.map { it.report.lowest[document.service] ?: 0 }
             val isEverywhere =
                 statuses.size == plan.entryZones.distinct().size &&
                     statuses.sumOf { it.report.instances } >= entryCount() &&
                     generations.all { it >= document.generation }
-            if (isEverywhere) return notes.now() - started
+            if (isEverywhere) return recorder.now() - startMillis
             delay(POLL_MILLIS)
         }
-        val seen = readInForce().joinToString { "${it.zone}: ${it.report.instances} at ${it.report.lowest}" }
-        notes.violate(
+        val states =
+            readInForce().joinToString {
+                "${it.zone}: ${it.report.instances} instances at ${it.report.lowest}"
+            }
+        recorder.recordViolation(
             Promise.P9,
-            "generation ${document.generation} of ${document.service} is not in force after $IN_FORCE_MILLIS ms: $seen",
+            "generation ${document.generation} of ${document.service} not in force after $IN_FORCE_MILLIS ms: $states",
         )
-        return notes.now() - started
+        return recorder.now() - startMillis
     }
 
-    /** Watches for reverts until it is cancelled. */
+    /** Checks for reverts to an older generation until it is cancelled. */
     suspend fun watchReverts() {
         while (true) {
             readInForce().forEach(::checkRevert)
@@ -77,11 +80,11 @@
         }
     }
 
-    /** Reads the audit trails at the end of the run. */
-    suspend fun readAudits() =
+    /** Records the audit trail of every accepted document. */
+    suspend fun recordAudits() =
         accepted.keys.forEach { service ->
             val current = readAccepted(service) ?: return@forEach
-            notes.record(HistoryEvent.AuditRead(notes.now(), service, current.audit.map { it.generation }))
+            recorder.record(HistoryEvent.AuditRead(recorder.now(), service, current.audit.map { it.generation }))
         }
 
     private suspend fun write(
@@ -100,7 +103,7 @@
                     }
                 }, { it.version })
             if (current != null) api.put(key, text, current).getOrNull()?.let { return it }
-            // An answer may have been lost after the write took effect.
+            // The response may have been lost after the write took effect.
             api
                 .get(key)
                 .getOrNull()
@@ -115,30 +118,33 @@
 
     private suspend fun readInForce(): List<InForceStatus> = reader.inForce().getOrElse { emptyList() }
 
-    private fun noteAccepted(document: AcceptedDocument) {
+    private fun recordAccepted(document: AcceptedDocument) {
         accepted[document.service] = document
         val event =
             HistoryEvent.DocumentAccepted(
-                notes.now(),
+                recorder.now(),
                 document.service,
                 document.generation,
                 document.documentVersion,
             )
-        notes.record(event)
+        recorder.record(event)
     }
 
     private fun checkRevert(status: InForceStatus) {
         if (!status.isComplete) return
         status.report.lowest.forEach { (service, generation) ->
-            val place = status.zone.value to service
-            val before = highestInForce.merge(place, generation, ::maxOf) ?: generation
-            if (generation < before) {
-                notes.violate(Promise.P9, "${place.first} went back from generation $before to $generation of $service")
+            val zoneAndService = status.zone.value to service
+            val highest = highestInForce.merge(zoneAndService, generation, ::maxOf) ?: generation
+            if (generation < highest) {
+                recorder.recordViolation(
+                    Promise.P9,
+                    "${zoneAndService.first} reverted $service from generation $highest to $generation",
+                )
             }
         }
     }
 
-    /** Returns [document] with [zone] taken out, or returned. */
+    /** Returns a copy of [document] with [zone] out of service if [isOut], otherwise with every zone in service. */
     fun withZone(
         document: ServiceDocument,
         zone: ZoneName,
@@ -146,10 +152,10 @@
     ): ServiceDocument = document.copy(zonesOut = if (isOut) listOf(zone) else emptyList())
 
     private companion object {
-        /** The stated time within which a change is in force everywhere. */
+        /** The specified time within which a change must be in force everywhere. */
         const val IN_FORCE_MILLIS = 14_000L
 
-        /** A first acceptor must win the lease first, which takes at most a term and its margin. */
+        /** The first acceptor must acquire the lease first, which takes at most one lease term and its margin. */
         const val ACCEPTANCE_MILLIS = 25_000L
         const val POLL_MILLIS = 200L
         const val WRITE_ATTEMPTS = 5
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DemoCommand.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DemoCommand.kt
@@ -5,12 +5,12 @@
 import picocli.CommandLine.Spec
 import java.util.concurrent.Callable
 
-/** Runs the demo. */
+/** Runs the demo and exits with its result code. */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
     description = [
-        "Run both deployments in this process with failures and check every promise.",
+        "Run both deployments in this process, inject failures and check every guarantee.",
         "The last line of standard output is one JSON object.",
     ],
     footer = ["", "Example: sequoiawheel demo"],
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DemoPlan.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DemoPlan.kt
@@ -9,11 +9,11 @@
 import io.sequoiawheel.standin.deployment.StandInSettings
 
 /**
- * What the demo does at one deployment.
+ * The demo's scenario for one deployment.
  *
  * @property entryZones availability zone of each entry instance
- * @property write the non-idempotent call of the plain service
- * @property lookup its idempotent call
+ * @property writeCall non-idempotent call of the plain service
+ * @property lookupCall idempotent call of the plain service
  */
 internal class DemoPlan(
     val name: String,
@@ -23,24 +23,24 @@
     val plainDocument: ServiceDocument,
     val longKind: GenerationKind,
     val shortKind: GenerationKind,
-    val write: String,
-    val lookup: String,
+    val writeCall: String,
+    val lookupCall: String,
     val workspaces: List<WorkspaceName>,
 ) {
-    /** A kind of generation that callers ask for. */
+    /** A kind of generation that callers request. */
     class GenerationKind(
         val name: String,
         val maximumTokens: Int,
         val delivery: ServiceDocument.Delivery,
     )
 
-    /** The zone that is taken out and returned. */
+    /** The availability zone that is taken out of service and returned to service. */
     val changedZone: ZoneName = entryZones.last()
 
-    /** The engine that dies, outside [changedZone]. */
-    val dyingEngine: InstanceId = backends(engineDocument.service).first { it.zone != changedZone }.id
+    /** The engine that fails; it is outside [changedZone]. */
+    val failingEngine: InstanceId = backends(engineDocument.service).first { it.zone != changedZone }.id
 
-    /** The engine that leaves, outside [changedZone]. */
+    /** The engine that leaves; it is outside [changedZone]. */
     val leavingEngine: InstanceId = backends(engineDocument.service).last { it.zone != changedZone }.id
 
     private fun backends(service: ServiceName) = standIns.backends.filter { it.service == service }
@@ -52,13 +52,15 @@
         private const val ENTRY_INSTANCES = 6
         private const val WORKSPACES = 3
 
-        // A graceful shutdown waits for generations whose caller left; the usual 30 s would take half of the demo.
+        // A graceful shutdown waits for generations whose caller disconnected; the default of 30 s would take half of
+        // the demo.
         private const val RESUME_WINDOW_MILLIS = 12_000L
 
-        // A cold desk handles 4 calls for 5 s: one step to 4 and the next beyond it when it is warm.
-        private val deskColdStart = ServiceDocument.ColdStartPolicy(initialConcurrent = 2, stepMillis = 2_600)
+        // A cold plain service handles 4 calls for 5 s. The limit starts at 2, reaches 4 after the first step and
+        // exceeds 4 after the second, when the service is warm.
+        private val plainServiceColdStart = ServiceDocument.ColdStartPolicy(initialConcurrent = 2, stepMillis = 2_600)
 
-        /** Kelani Loom Software: letters, summaries, pledges. */
+        /** Kelani Loom Software: generates letters and summaries, records pledges. */
         val kelani: DemoPlan =
             DemoPlan(
                 name = "kelani",
@@ -68,12 +70,12 @@
                 plainDocument = plainDocument("pledge-desk", "record", "lookup"),
                 longKind = GenerationKind("letter", LONG_TOKENS, ServiceDocument.Delivery.STREAM),
                 shortKind = GenerationKind("summary", SHORT_TOKENS, ServiceDocument.Delivery.WHOLE),
-                write = "record",
-                lookup = "lookup",
+                writeCall = "record",
+                lookupCall = "lookup",
                 workspaces = workspaces("sponsors"),
             )
 
-        /** Manjadi Frost Archive: descriptions, tags, prints. */
+        /** Manjadi Frost Archive: generates descriptions and tags, orders prints. */
         val manjadi: DemoPlan =
             DemoPlan(
                 name = "manjadi",
@@ -83,8 +85,8 @@
                 plainDocument = plainDocument("studio-desk", "print", "lookup"),
                 longKind = GenerationKind("description", LONG_TOKENS, ServiceDocument.Delivery.STREAM),
                 shortKind = GenerationKind("tags", SHORT_TOKENS, ServiceDocument.Delivery.WHOLE),
-                write = "print",
-                lookup = "lookup",
+                writeCall = "print",
+                lookupCall = "lookup",
                 workspaces = workspaces("studio"),
             )
 
@@ -111,19 +113,19 @@
 
         private fun plainDocument(
             service: String,
-            write: String,
-            lookup: String,
+            writeCall: String,
+            lookupCall: String,
         ) = ServiceDocument(
             service = ServiceName(service),
             kind = ServiceDocument.Kind.PLAIN_SERVICE,
             author = "demo",
             calls =
                 listOf(
-                    ServiceDocument.Call(write, idempotent = false, deadlineMillis = 5_000),
-                    ServiceDocument.Call(lookup, idempotent = true, deadlineMillis = 3_000, hedgeAfterMillis = 500),
+                    ServiceDocument.Call(writeCall, idempotent = false, deadlineMillis = 5_000),
+                    ServiceDocument.Call(lookupCall, idempotent = true, deadlineMillis = 3_000, hedgeAfterMillis = 500),
                 ),
             workspaces = policies(),
-            coldStart = deskColdStart,
+            coldStart = plainServiceColdStart,
         )
 
         private fun policies() =
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DemoResult.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DemoResult.kt
@@ -3,19 +3,19 @@
 import kotlinx.serialization.Serializable
 
 /**
- * The last line of the demo's output.
+ * The JSON object on the last line of the demo's output.
  *
- * @property requests callers' requests, each with its final result only
- * @property completed requests with a complete answer
- * @property refusedNotRun requests that were finally refused and did not run
- * @property unknown requests of which the system cannot say whether they ran
- * @property interrupted generations that were told how many tokens they have and that no more come
- * @property lost requests that never got a final answer
- * @property duplicatedRuns runs of a non-idempotent call beyond its first
- * @property tokenOrderViolations tokens that came twice, out of order, or not as the engine generated them
- * @property resumed streams that were continued at another entry instance
- * @property sentTwice non-idempotent calls that were sent to two entry instances with one key
- * @property violations broken promises P1 to P9 in plain English
+ * @property requests requests of callers; retries of a request are not counted
+ * @property completed requests that received a complete response
+ * @property refusedNotRun requests whose final result is a rejection that says that they did not run
+ * @property unknown requests that may or may not have run
+ * @property interrupted generations that ended early and whose caller was told so, with the number of tokens
+ * @property lost requests that received no final response
+ * @property duplicatedRuns runs of non-idempotent calls beyond the first run of each
+ * @property tokenOrderViolations tokens that were duplicated, out of order or different from the engine's output
+ * @property resumed streams that were resumed at another entry instance
+ * @property sentTwice non-idempotent calls that were sent to two entry instances with the same idempotency key
+ * @property violations descriptions of violated guarantees P1 to P9
  */
 @Serializable
 data class DemoResult(
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DeploymentReport.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DeploymentReport.kt
@@ -4,21 +4,21 @@
 import io.sequoiawheel.core.history.Promise
 import io.sequoiawheel.core.history.Violation
 
-/** What the demo observed at one deployment. */
+/** The results of the demo at one deployment. */
 internal class DeploymentReport(
     val name: String,
-    val tally: Tally,
-    private val checked: CheckResult,
-    private val seen: List<Violation>,
+    val results: ResultCounter,
+    private val checkResult: CheckResult,
+    private val observedViolations: List<Violation>,
     val duplicatedRuns: Int,
-    private val watched: Map<Promise, Int>,
+    private val observedOccasions: Map<Promise, Int>,
 ) {
-    /** Every broken promise, from the history and from direct observation. */
-    val violations: List<Violation> get() = checked.violations + seen
+    /** All violations: those found in the history and those observed during the run. */
+    val violations: List<Violation> get() = checkResult.violations + observedViolations
 
-    /** Returns on how many occasions [promise] was checked or could have been seen broken. */
-    fun occasions(promise: Promise): Int = maxOf(checked.examined[promise] ?: 0, watched[promise] ?: 0)
+    /** Returns how many times [promise] was checked or a violation of it could have been observed. */
+    fun occasions(promise: Promise): Int = maxOf(checkResult.examined[promise] ?: 0, observedOccasions[promise] ?: 0)
 
-    /** Tokens that came twice, out of order or from another generation. */
+    /** Tokens that were duplicated, out of order or from another generation. */
     val tokenOrderViolations: Int get() = violations.count { it.promise == Promise.P1 }
 }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DeploymentRun.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DeploymentRun.kt
@@ -24,31 +24,33 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import kotlin.random.Random
 
-/** Runs the demo at one deployment: starts it, drives callers, lets parts fail and leave, and checks the promises. */
+/** Runs the demo at one deployment: starts it, generates load, injects failures and checks the guarantees. */
 internal class DeploymentRun(
     private val plan: DemoPlan,
-    print: (String) -> Unit,
+    printLine: (String) -> Unit,
 ) {
-    private val notes = DemoNotes(plan.name, print)
-    private val tally = Tally()
-    private val standIns = StandInSet(plan.standIns, notes.history)
+    private val recorder = DemoRecorder(plan.name, printLine)
+    private val results = ResultCounter()
+    private val standIns = StandInSet(plan.standIns, recorder.history)
     private val client = CallerClient()
 
-    /** Runs to the end and returns what was observed. Throws [CommandFailure] if the deployment does not start. */
+    /** Runs the scenario and returns its results. Throws [CommandFailure] if the deployment does not start. */
     suspend fun run(): DeploymentReport {
         standIns.start()
         val platform = platformSettings()
         val transport = PlatformTransport(platform.copy(callsPerSecond = OPERATOR_CALLS_PER_SECOND))
-        val fleet = EntryFleet(plan, platform, notes)
+        val fleet = EntryFleet(plan, platform, recorder)
         try {
             fleet.start()
-            notes.progress("${plan.standIns.backends.size} backend servers and ${fleet.size} entry instances started")
+            recorder.progress(
+                "${plan.standIns.backends.size} backend servers and ${fleet.size} entry instances started",
+            )
             val api = HttpObjectApi(platform.objectApi, transport)
-            val operator = ConfigurationOperator(plan, api, notes, fleet::size)
-            noteReplicas()
-            awaitService(operator)
-            serve(fleet, operator)
-            operator.readAudits()
+            val operator = ConfigurationOperator(plan, api, recorder, fleet::size)
+            recordReplicas()
+            putDocuments(operator)
+            runLoad(fleet, operator)
+            operator.recordAudits()
         } finally {
             fleet.close()
             client.close()
@@ -65,33 +67,33 @@
             weightStore = checkNotNull(standIns.weightStore).baseUrl,
         )
 
-    private fun noteReplicas() =
+    private fun recordReplicas() =
         plan.standIns.backends.forEach { backend ->
-            notes.record(HistoryEvent.ReplicaCapacity(notes.now(), backend.id, backend.service, backend.zone))
+            recorder.record(HistoryEvent.ReplicaCapacity(recorder.now(), backend.id, backend.service, backend.zone))
         }
 
-    private suspend fun awaitService(operator: ConfigurationOperator) {
+    private suspend fun putDocuments(operator: ConfigurationOperator) {
         listOf(plan.engineDocument, plan.plainDocument).forEach { document ->
             val accepted = operator.put(document)
-            notes.progress("${accepted.service} accepted as generation ${accepted.generation}")
+            recorder.progress("${accepted.service} accepted as generation ${accepted.generation}")
             operator.awaitInForce(accepted)
         }
-        notes.progress("both services are in force at every entry instance")
+        recorder.progress("both service documents are in force at every entry instance")
     }
 
-    private suspend fun serve(
+    private suspend fun runLoad(
         fleet: EntryFleet,
         operator: ConfigurationOperator,
     ) = coroutineScope {
-        val reverts = launch { operator.watchReverts() }
-        val end = notes.now() + LOAD_MILLIS
+        val revertWatch = launch { operator.watchReverts() }
+        val end = recorder.now() + LOAD_MILLIS
         val callers = launchCallers(fleet, end)
-        val events = launch { changeThings(fleet, operator) }
-        events.join()
+        val disruptions = launch { runDisruptions(fleet, operator) }
+        disruptions.join()
         val drained = withTimeoutOrNull(LOAD_MILLIS + DRAIN_MILLIS) { callers.joinAll() }
         if (drained == null) callers.forEach { it.cancel() }
-        notes.progress("${tally.requests} requests ended")
-        reverts.cancel()
+        recorder.progress("${results.requests} requests ended")
+        revertWatch.cancel()
     }
 
     private fun CoroutineScope.launchCallers(
@@ -102,17 +104,17 @@
             List(GENERATION_CALLERS) { index ->
                 val random = Random(index)
                 val workspace = plan.workspaces[index % plan.workspaces.size]
-                val caller = GenerationCaller(plan, fleet, client, notes, tally, workspace, random)
+                val caller = GenerationCaller(plan, fleet, client, recorder, results, workspace, random)
                 val kind = if (index % 2 == 0) plan.longKind else plan.shortKind
                 launch { repeatUntil(endMillis, GENERATION_PAUSE_MILLIS) { caller.send(kind) } }
             }
         val calls =
             List(PLAIN_CALLERS) { index ->
                 val workspace = plan.workspaces[index % plan.workspaces.size]
-                val caller = PlainCaller(plan, fleet, client, notes, tally, workspace, Random(-index - 1))
+                val caller = PlainCaller(plan, fleet, client, recorder, results, workspace, Random(-index - 1))
                 launch {
                     repeatUntil(endMillis, CALL_PAUSE_MILLIS) {
-                        if (index % 2 == 0) caller.lookUp() else caller.write()
+                        if (index % 2 == 0) caller.sendLookup() else caller.sendWrite()
                     }
                 }
             }
@@ -124,106 +126,121 @@
         pauseMillis: Long,
         action: suspend () -> Unit,
     ) {
-        while (notes.now() < endMillis) {
+        while (recorder.now() < endMillis) {
             action()
             delay(pauseMillis)
         }
     }
 
-    private suspend fun changeThings(
+    private suspend fun runDisruptions(
         fleet: EntryFleet,
         operator: ConfigurationOperator,
     ) = coroutineScope {
-        disturbAnswers()
-        launch { changeZone(operator) }
-        delay(STEP_MILLIS)
-        notes.progress("engine ${plan.dyingEngine} dies for ${DOWN_MILLIS / 1000} s")
-        standIns.engines.getValue(plan.dyingEngine).die(DOWN_MILLIS)
-        delay(STEP_MILLIS)
-        launch { shutDown(fleet) }
-        delay(STEP_MILLIS)
-        markLeaving()
+        injectFaults()
+        launch { takeZoneOutAndBack(operator) }
+        delay(DISRUPTION_INTERVAL_MILLIS)
+        recorder.progress("engine ${plan.failingEngine} fails for ${ENGINE_DOWN_MILLIS / 1000} s")
+        standIns.engines.getValue(plan.failingEngine).die(ENGINE_DOWN_MILLIS)
+        delay(DISRUPTION_INTERVAL_MILLIS)
+        launch { shutDownEntry(fleet) }
+        delay(DISRUPTION_INTERVAL_MILLIS)
+        removeEngine()
     }
 
-    private fun disturbAnswers() {
-        val desks = standIns.plainServices.values.toList()
-        val now = notes.now()
-        desks[0].model.order(PlainServiceFaults(listOf(AnswerFault.LOST), call = plan.write), now)
-        desks[1].model.order(PlainServiceFaults(listOf(AnswerFault.CROSSED, AnswerFault.MISMATCHED), plan.lookup), now)
-        desks[2].model.order(PlainServiceFaults(listOf(AnswerFault.REFUSED, AnswerFault.LATE), plan.write), now)
-        checkNotNull(standIns.objectStore).order(StoreFaults(lostAnswerProbability = LOST_STORE_ANSWERS))
-        notes.progress("desks lose, cross and refuse answers; the object store loses one write answer in fifty")
+    private fun injectFaults() {
+        val services = standIns.plainServices.values.toList()
+        val now = recorder.now()
+        services[0].model.order(PlainServiceFaults(listOf(AnswerFault.LOST), call = plan.writeCall), now)
+        services[1].model.order(
+            PlainServiceFaults(listOf(AnswerFault.CROSSED, AnswerFault.MISMATCHED), plan.lookupCall),
+            now,
+        )
+        services[2].model.order(PlainServiceFaults(listOf(AnswerFault.REFUSED, AnswerFault.LATE), plan.writeCall), now)
+        checkNotNull(standIns.objectStore).order(StoreFaults(lostAnswerProbability = LOST_STORE_RESPONSE_PROBABILITY))
+        recorder.progress(
+            "plain services lose, swap and reject responses; the object store loses 1 in 50 write responses",
+        )
     }
 
-    private suspend fun changeZone(operator: ConfigurationOperator) {
+    private suspend fun takeZoneOutAndBack(operator: ConfigurationOperator) {
         val zone = plan.changedZone
         val service = plan.engineDocument.service
-        val out = operator.put(operator.withZone(plan.engineDocument, zone, isOut = true))
-        notes.record(HistoryEvent.ZoneChanged(notes.now(), service, zone, isOut = true))
-        val inForce = operator.awaitInForce(out)
-        notes.progress("zone $zone taken out of $service, in force everywhere after $inForce ms")
+        val withoutZone = operator.put(operator.withZone(plan.engineDocument, zone, isOut = true))
+        recorder.record(HistoryEvent.ZoneChanged(recorder.now(), service, zone, isOut = true))
+        val inForce = operator.awaitInForce(withoutZone)
+        recorder.progress("zone $zone taken out of $service, in force everywhere after $inForce ms")
         delay(ZONE_OUT_MILLIS)
-        notes.record(HistoryEvent.ZoneChanged(notes.now(), service, zone, isOut = false))
-        val back = operator.put(operator.withZone(plan.engineDocument, zone, isOut = false))
-        notes.progress("zone $zone returned to $service, in force after ${operator.awaitInForce(back)} ms")
+        recorder.record(HistoryEvent.ZoneChanged(recorder.now(), service, zone, isOut = false))
+        val withZone = operator.put(operator.withZone(plan.engineDocument, zone, isOut = false))
+        recorder.progress("zone $zone returned to $service, in force after ${operator.awaitInForce(withZone)} ms")
     }
 
-    private suspend fun shutDown(fleet: EntryFleet) {
-        notes.progress("one entry instance shuts down gracefully with its streams open")
+    private suspend fun shutDownEntry(fleet: EntryFleet) {
+        recorder.progress("one entry instance shuts down gracefully with open streams")
         val id = withTimeoutOrNull(SHUTDOWN_MILLIS) { fleet.shutDownOne() }
-        if (id == null) notes.violate(Promise.P8, "a graceful shutdown did not end within $SHUTDOWN_MILLIS ms")
-        notes.progress("${id ?: "the entry instance"} has shut down")
+        if (id == null) recorder.recordViolation(Promise.P8, "graceful shutdown not complete after $SHUTDOWN_MILLIS ms")
+        recorder.progress("${id ?: "the entry instance"} has shut down")
     }
 
-    private suspend fun markLeaving() {
+    private suspend fun removeEngine() {
         val id = plan.leavingEngine
         val list = checkNotNull(standIns.instanceList)
         standIns.leave(id)
-        notes.progress("engine $id is leaving")
+        recorder.progress("engine $id is leaving")
         withTimeoutOrNull(DRAIN_MILLIS) {
-            while (list.model.read(notes.now()).none { it.id == id && it.state == Instance.State.LEAVING }) {
+            while (list.model.read(recorder.now()).none { it.id == id && it.state == Instance.State.LEAVING }) {
                 delay(LIST_POLL_MILLIS)
             }
-            notes.record(HistoryEvent.ReplicaLeaving(notes.now(), id))
-        } ?: throw CommandFailure(ResultCode.INTERNAL_ERROR, "the instance list never showed $id as leaving")
+            recorder.record(HistoryEvent.ReplicaLeaving(recorder.now(), id))
+        } ?: throw CommandFailure(ResultCode.INTERNAL_ERROR, "the instance list did not report $id as leaving")
     }
 
     private fun report(): DeploymentReport {
         checkColdStarts()
         val history =
-            notes.history.snapshot().map { event ->
-                if (event is HistoryEvent.TokenProduced) event.copy(run = GenerationCaller.runOf(event.text)) else event
+            recorder.history.snapshot().map { event ->
+                if (event is HistoryEvent.TokenProduced) event.copy(run = GenerationCaller.runId(event.text)) else event
             }
         val checked: CheckResult = HistoryChecker().check(history)
-        checked.violations.forEach { notes.progress("BROKEN $it") }
-        return DeploymentReport(plan.name, tally, checked, notes.violations, duplicatedRuns(history), watched(history))
+        checked.violations.forEach { recorder.progress("BROKEN $it") }
+        return DeploymentReport(
+            plan.name,
+            results,
+            checked,
+            recorder.violations,
+            duplicatedRuns(history),
+            countOccasions(history),
+        )
     }
 
-    /** Counts the occasions at which P2, P3 and P7 could have been broken. */
-    private fun watched(history: List<HistoryEvent>): Map<Promise, Int> {
+    /** Counts the occasions on which P2, P3 and P7 could have been violated. */
+    private fun countOccasions(history: List<HistoryEvent>): Map<Promise, Int> {
         val service = plan.engineDocument.service
         val arrivals =
             history.filterIsInstance<HistoryEvent.Dispatched>().filter { it.replica.value.startsWith(service.value) }
         val zones = history.filterIsInstance<HistoryEvent.ZoneChanged>()
-        val out = zones.first { it.isOut }.atMillis + CheckBounds().zoneMillis
-        val back = zones.last { !it.isOut }.atMillis
-        val left =
+        val outMillis = zones.first { it.isOut }.atMillis + CheckBounds().zoneMillis
+        val backMillis = zones.last { !it.isOut }.atMillis
+        val leavingEndMillis =
             history.filterIsInstance<HistoryEvent.ReplicaLeaving>().first().atMillis + CheckBounds().leavingMillis
         val starts = standIns.engines.values.sumOf { it.starts - 1 } + standIns.plainServices.values.sumOf { it.starts }
         return mapOf(
             Promise.P2 to starts,
-            Promise.P3 to arrivals.count { it.atMillis in out..back },
-            Promise.P7 to arrivals.count { it.atMillis > left },
+            Promise.P3 to arrivals.count { it.atMillis in outMillis..backMillis },
+            Promise.P7 to arrivals.count { it.atMillis > leavingEndMillis },
         )
     }
 
     private fun checkColdStarts() {
         standIns.engines.forEach { (id, engine) ->
-            if (engine.overloadCrashes > 0) notes.violate(Promise.P2, "$id failed under too much load while cold")
+            if (engine.overloadCrashes > 0) recorder.recordViolation(Promise.P2, "$id failed by overload while cold")
         }
-        standIns.plainServices.forEach { (id, desk) ->
-            if (desk.model.coldOverloads > 0) {
-                notes.violate(Promise.P2, "$id received ${desk.model.coldOverloads} calls too many while cold")
+        standIns.plainServices.forEach { (id, service) ->
+            if (service.model.coldOverloads > 0) {
+                recorder.recordViolation(
+                    Promise.P2,
+                    "$id received ${service.model.coldOverloads} excess calls while cold",
+                )
             }
         }
     }
@@ -251,15 +268,15 @@
         const val CALL_PAUSE_MILLIS = 100L
         const val LOAD_MILLIS = 24_000L
         const val DRAIN_MILLIS = 10_000L
-        const val STEP_MILLIS = 3_000L
-        const val DOWN_MILLIS = 3_000L
+        const val DISRUPTION_INTERVAL_MILLIS = 3_000L
+        const val ENGINE_DOWN_MILLIS = 3_000L
 
-        /** The longest generation and the resume window after it. */
+        /** Covers the longest generation and the resume window after it. */
         const val SHUTDOWN_MILLIS = 30_000L
         const val LIST_POLL_MILLIS = 20L
-        const val LOST_STORE_ANSWERS = 0.02
+        const val LOST_STORE_RESPONSE_PROBABILITY = 0.02
 
-        /** Longer than the 14 s within which the change must be in force, so that later dispatches are decided. */
+        /** Longer than the 14 s within which the change must be in force, so that later dispatches can be checked. */
         const val ZONE_OUT_MILLIS = 15_000L
     }
 }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/demo/EntryFleet.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/demo/EntryFleet.kt
@@ -13,14 +13,14 @@
 import java.util.concurrent.CopyOnWriteArrayList
 import kotlin.random.Random
 
-/** The entry instances of one deployment, as the platform's load balancer sees them. */
+/** The entry instances of one deployment. Stands in for the platform's load balancer. */
 internal class EntryFleet(
     private val plan: DemoPlan,
     private val platform: PlatformSettings,
-    private val notes: DemoNotes,
+    private val recorder: DemoRecorder,
 ) {
-    /** One running entry instance. */
-    class Entry(
+    /** A running entry instance. */
+    class EntryInstance(
         val id: InstanceId,
         val daemon: EntryDaemon,
     ) {
@@ -29,42 +29,42 @@
     }
 
     private val resumeKey = ByteArray(KEY_BYTES).also { SecureRandom().nextBytes(it) }
-    private val live = CopyOnWriteArrayList<Entry>()
+    private val running = CopyOnWriteArrayList<EntryInstance>()
 
-    /** How many entry instances take requests. */
-    val size: Int get() = live.size
+    /** The number of entry instances that accept requests. */
+    val size: Int get() = running.size
 
-    /** Starts every entry instance; throws [CommandFailure] if one cannot bind. */
+    /** Starts every entry instance. Throws [CommandFailure] if one fails to bind its address. */
     suspend fun start() =
         plan.entryZones.forEachIndexed { index, _ ->
-            val entry = Entry(settings(index).instanceId, EntryDaemon(settings(index)))
+            val entry = EntryInstance(settings(index).instanceId, EntryDaemon(settings(index)))
             entry.daemon.start().getOrElse { throw CommandFailure(it) }
-            live += entry
+            running += entry
         }
 
-    /** Returns an entry instance, if possible another one than [other]. */
-    fun any(
+    /** Returns a random entry instance, other than [excluded] if possible. */
+    fun pick(
         random: Random,
-        other: Entry? = null,
-    ): Entry {
-        val candidates = live.filter { it !== other }.ifEmpty { live }
+        excluded: EntryInstance? = null,
+    ): EntryInstance {
+        val candidates = running.filter { it !== excluded }.ifEmpty { running }
         return candidates[random.nextInt(candidates.size)]
     }
 
-    /** Shuts one entry instance down gracefully while callers still know it, and returns its id. */
+    /** Gracefully shuts down one entry instance while callers still use it, and returns its id. */
     suspend fun shutDownOne(): InstanceId {
-        val entry = live.first()
-        notes.record(HistoryEvent.ShutdownStarted(notes.now(), entry.id))
-        live.remove(entry)
+        val entry = running.first()
+        recorder.record(HistoryEvent.ShutdownStarted(recorder.now(), entry.id))
+        running.remove(entry)
         entry.daemon.leave()
-        // The callers may still be reading the last bytes of their answers.
-        delay(READING_MILLIS)
-        notes.record(HistoryEvent.ShutdownFinished(notes.now(), entry.id, exitCode = 0))
+        // The callers may still be reading the last bytes of their responses.
+        delay(RESPONSE_READ_MILLIS)
+        recorder.record(HistoryEvent.ShutdownFinished(recorder.now(), entry.id, exitCode = 0))
         return entry.id
     }
 
-    /** Ends every entry instance at once. */
-    fun close() = live.forEach { it.daemon.close() }
+    /** Stops every entry instance without waiting for its requests. */
+    fun close() = running.forEach { it.daemon.close() }
 
     private fun settings(index: Int) =
         DaemonSettings(
@@ -80,6 +80,6 @@
     private companion object {
         const val LOOPBACK = "127.0.0.1"
         const val KEY_BYTES = 32
-        const val READING_MILLIS = 1_000L
+        const val RESPONSE_READ_MILLIS = 1_000L
     }
 }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/demo/GenerationCaller.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/demo/GenerationCaller.kt
@@ -16,47 +16,47 @@
 import java.util.UUID
 import kotlin.random.Random
 
-/** One caller that sends generations, reads every token, and resumes streams at other entry instances. */
+/** A caller that sends generations, reads every token, and resumes streams at other entry instances. */
 internal class GenerationCaller(
     private val plan: DemoPlan,
     private val fleet: EntryFleet,
     private val client: CallerClient,
-    private val notes: DemoNotes,
-    private val tally: Tally,
+    private val recorder: DemoRecorder,
+    private val results: ResultCounter,
     private val workspace: WorkspaceName,
     private val random: Random,
 ) {
-    /** Sends one generation and counts its final result. A refusal that says `not run` is tried again. */
+    /** Sends one generation and counts its final result. Retries rejections that say `not run`. */
     suspend fun send(kind: DemoPlan.GenerationKind) {
         var code: ResultCode? = null
         var attempts = 0
         do {
             val request = Request(RequestId("${plan.name}-g-${UUID.randomUUID()}"))
             code = if (kind.delivery == ServiceDocument.Delivery.WHOLE) whole(request, kind) else stream(request, kind)
-            val isRefused = code?.work == WorkState.NOT_RUN
-            if (isRefused) delay(request.retryAfterMillis.coerceIn(MINIMUM_RETRY_MILLIS, MAXIMUM_RETRY_MILLIS))
-        } while (isRefused && ++attempts < ATTEMPTS)
-        tally.count(code)
+            val isRejected = code?.work == WorkState.NOT_RUN
+            if (isRejected) delay(request.retryAfterMillis.coerceIn(MINIMUM_RETRY_MILLIS, MAXIMUM_RETRY_MILLIS))
+        } while (isRejected && ++attempts < MAXIMUM_ATTEMPTS)
+        results.count(code)
     }
 
     private suspend fun whole(
         request: Request,
         kind: DemoPlan.GenerationKind,
     ): ResultCode? {
-        notes.record(HistoryEvent.CallStarted(notes.now(), request.id))
-        val entry = fleet.any(random)
-        val answer = client.post(generationsUrl(entry), workspace, request.id.value, body(kind))
+        recorder.record(HistoryEvent.CallStarted(recorder.now(), request.id))
+        val entry = fleet.pick(random)
+        val answer = client.post(generationsUrl(entry), workspace, request.id.value, requestBody(kind))
         if (answer == null) {
-            notes.record(HistoryEvent.CallLost(notes.now(), request.id))
+            recorder.record(HistoryEvent.CallLost(recorder.now(), request.id))
             return null
         }
         val code = codeOf(answer)
-        request.noteRetry(answer)
-        if (code != ResultCode.OK) return code.also { end(request, it, null) }
+        request.readRetryDelay(answer)
+        if (code != ResultCode.OK) return code.also { recordEnd(request, it, null) }
         val text = answer.getValue("text").jsonPrimitive.content
-        val pieces = text.split(' ').dropLast(1)
-        pieces.forEachIndexed { offset, piece -> deliver(request, offset, "$piece ") }
-        end(request, code, answer.getValue("tokens").jsonPrimitive.int)
+        val tokens = text.split(' ').dropLast(1)
+        tokens.forEachIndexed { offset, token -> recordToken(request, offset, "$token ") }
+        recordEnd(request, code, answer.getValue("tokens").jsonPrimitive.int)
         return code
     }
 
@@ -64,101 +64,102 @@
         request: Request,
         kind: DemoPlan.GenerationKind,
     ): ResultCode? {
-        notes.record(HistoryEvent.CallStarted(notes.now(), request.id))
-        var entry = fleet.any(random)
-        val breakAt = if (random.nextInt(RESUME_ONE_IN) == 0) random.nextInt(1, BREAK_WITHIN) else Int.MAX_VALUE
-        client.postStream(generationsUrl(entry), workspace, request.id.value, body(kind)) { event ->
-            take(request, entry, event) && request.next < breakAt
+        recorder.record(HistoryEvent.CallStarted(recorder.now(), request.id))
+        var entry = fleet.pick(random)
+        val disconnectOffset =
+            if (random.nextInt(DISCONNECT_ONE_IN) == 0) random.nextInt(1, DISCONNECT_OFFSET_BOUND) else Int.MAX_VALUE
+        client.postStream(generationsUrl(entry), workspace, request.id.value, requestBody(kind)) { event ->
+            handleEvent(request, entry, event) && request.nextOffset < disconnectOffset
         }
         var resumes = 0
-        while (request.code == null && request.handle != null && resumes++ < MAXIMUM_RESUMES) {
-            entry = fleet.any(random, other = entry)
-            tally.countResume()
-            val url = "${entry.url}/v1/generations/${request.handle}"
-            client.resumeStream(url, workspace, "${request.id.value}-r$resumes", request.last) { event ->
-                take(request, entry, event)
+        while (request.code == null && request.resumeHandle != null && resumes++ < MAXIMUM_RESUMES) {
+            entry = fleet.pick(random, excluded = entry)
+            results.countResume()
+            val url = "${entry.url}/v1/generations/${request.resumeHandle}"
+            client.resumeStream(url, workspace, "${request.id.value}-r$resumes", request.lastOffset) { event ->
+                handleEvent(request, entry, event)
             }
-            if (request.refusedResume) delay(MINIMUM_RETRY_MILLIS)
+            if (request.isResumeRejected) delay(MINIMUM_RETRY_MILLIS)
         }
-        // The last refusal of a resume is what the caller knows about its generation.
-        if (request.code == null) request.refusal?.let { end(request, it, null) }
-        if (request.code == null) notes.record(HistoryEvent.CallLost(notes.now(), request.id))
+        // Without a final event, the last rejection of a resume is the caller's result.
+        if (request.code == null) request.resumeRejection?.let { recordEnd(request, it, null) }
+        if (request.code == null) recorder.record(HistoryEvent.CallLost(recorder.now(), request.id))
         return request.code
     }
 
-    /** Takes one event of a stream; returns whether to read on. */
-    private fun take(
+    /** Handles one event of a stream. Returns whether to continue reading. */
+    private fun handleEvent(
         request: Request,
-        entry: EntryFleet.Entry,
+        entry: EntryFleet.EntryInstance,
         event: CallerClient.Event,
     ): Boolean {
         when (event.name) {
             "accepted" -> {
-                request.handle =
+                request.resumeHandle =
                     event.data
                         .getValue("resumeHandle")
                         .jsonPrimitive.content
-                notes.record(HistoryEvent.CallAccepted(notes.now(), request.id, entry.id))
+                recorder.record(HistoryEvent.CallAccepted(recorder.now(), request.id, entry.id))
             }
 
             "token" ->
-                deliver(
+                recordToken(
                     request,
-                    checkNotNull(event.id) { "a token without offset" },
+                    checkNotNull(event.id) { "token event without an offset" },
                     event.data
                         .getValue("text")
                         .jsonPrimitive.content,
                 )
 
             "done" ->
-                end(
+                recordEnd(
                     request,
                     codeOf(event.data),
                     event.data
                         .getValue("tokens")
                         .jsonPrimitive.int,
                 )
-            "error" -> return takeError(request, event.data)
+            "error" -> return handleError(request, event.data)
         }
         return request.code == null
     }
 
-    private fun takeError(
+    private fun handleError(
         request: Request,
         data: JsonObject,
     ): Boolean {
         val code = codeOf(data)
-        request.noteRetry(data)
-        // Refusals of a resume, such as by an instance that is leaving, do not end the generation itself.
-        request.refusedResume = request.handle != null && code.work == WorkState.NOT_RUN
-        if (request.refusedResume) request.refusal = code
-        if (!request.refusedResume) end(request, code, null)
+        request.readRetryDelay(data)
+        // A rejected resume, for example by an instance that is shutting down, does not end the generation itself.
+        request.isResumeRejected = request.resumeHandle != null && code.work == WorkState.NOT_RUN
+        if (request.isResumeRejected) request.resumeRejection = code
+        if (!request.isResumeRejected) recordEnd(request, code, null)
         return false
     }
 
-    private fun deliver(
+    private fun recordToken(
         request: Request,
         offset: Int,
         text: String,
     ) {
-        notes.record(HistoryEvent.TokenDelivered(notes.now(), request.id, runOf(text), offset, text))
-        request.last = offset
-        request.next = offset + 1
+        recorder.record(HistoryEvent.TokenDelivered(recorder.now(), request.id, runId(text), offset, text))
+        request.lastOffset = offset
+        request.nextOffset = offset + 1
     }
 
-    private fun end(
+    private fun recordEnd(
         request: Request,
         code: ResultCode,
         tokens: Int?,
     ) {
         request.code = code
-        notes.record(HistoryEvent.CallEnded(notes.now(), request.id, code, tokens = tokens))
+        recorder.record(HistoryEvent.CallEnded(recorder.now(), request.id, code, tokens = tokens))
     }
 
-    private fun generationsUrl(entry: EntryFleet.Entry) =
+    private fun generationsUrl(entry: EntryFleet.EntryInstance) =
         "${entry.url}/v1/services/${plan.engineDocument.service}/generations"
 
-    private fun body(kind: DemoPlan.GenerationKind) =
+    private fun requestBody(kind: DemoPlan.GenerationKind) =
         buildJsonObject {
             put(
                 "model",
@@ -177,35 +178,35 @@
     private class Request(
         val id: RequestId,
     ) {
-        var handle: String? = null
-        var last: Int? = null
-        var next = 0
+        var resumeHandle: String? = null
+        var lastOffset: Int? = null
+        var nextOffset = 0
         var code: ResultCode? = null
-        var refusedResume = false
-        var refusal: ResultCode? = null
+        var isResumeRejected = false
+        var resumeRejection: ResultCode? = null
         var retryAfterMillis = 0L
 
-        fun noteRetry(body: JsonObject) {
-            retryAfterMillis = body["retryAfterMillis"]?.jsonPrimitive?.longOrNull ?: 0
+        fun readRetryDelay(response: JsonObject) {
+            retryAfterMillis = response["retryAfterMillis"]?.jsonPrimitive?.longOrNull ?: 0
         }
     }
 
     companion object {
-        private const val ATTEMPTS = 5
+        private const val MAXIMUM_ATTEMPTS = 5
         private const val MAXIMUM_RESUMES = 20
-        private const val RESUME_ONE_IN = 3
-        private const val BREAK_WITHIN = 60
+        private const val DISCONNECT_ONE_IN = 3
+        private const val DISCONNECT_OFFSET_BOUND = 60
         private const val PROMPT_REPEATS = 8
         private const val MINIMUM_RETRY_MILLIS = 200L
         private const val MAXIMUM_RETRY_MILLIS = 2_000L
 
         /** Returns the result code in a JSON body of an entry instance. */
-        fun codeOf(body: JsonObject): ResultCode {
-            val number = body.getValue("code").jsonPrimitive.int
+        fun codeOf(response: JsonObject): ResultCode {
+            val number = response.getValue("code").jsonPrimitive.int
             return checkNotNull(ResultCode.of(number)) { "unknown result code $number" }
         }
 
-        /** Returns what names the generation in the text of a stand-in engine's token. */
-        fun runOf(text: String): String = text.substringBefore('.')
+        /** Returns the id of the run, with which the text of a stand-in engine's token begins. */
+        fun runId(text: String): String = text.substringBefore('.')
     }
 }
--- a/cli/src/main/kotlin/io/sequoiawheel/cli/demo/PlainCaller.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/demo/PlainCaller.kt
@@ -14,85 +14,89 @@
 import java.util.UUID
 import kotlin.random.Random
 
-/** One caller of a plain service: lookups, and non-idempotent calls that it sometimes sends twice. */
+/** A caller of a plain service. Sends lookups, and non-idempotent calls of which it sends some twice. */
 internal class PlainCaller(
     private val plan: DemoPlan,
     private val fleet: EntryFleet,
     private val client: CallerClient,
-    private val notes: DemoNotes,
-    private val tally: Tally,
+    private val recorder: DemoRecorder,
+    private val results: ResultCounter,
     private val workspace: WorkspaceName,
     private val random: Random,
 ) {
     /** Sends one idempotent call. */
-    suspend fun lookUp() {
-        tally.count(untilItRuns { call(fleet.any(random), plan.lookup, bodyOf(UUID.randomUUID().toString()), null) })
+    suspend fun sendLookup() {
+        results.count(
+            retryNotRun {
+                call(fleet.pick(random), plan.lookupCall, requestBody(UUID.randomUUID().toString()), null)
+            },
+        )
     }
 
-    /** Sends one non-idempotent call; one in [REPEAT_ONE_IN] goes to two entry instances at once with the same key. */
-    suspend fun write() {
+    /** Sends a non-idempotent call; one in [REPEAT_ONE_IN] goes to two entry instances at once with the same key. */
+    suspend fun sendWrite() {
         val key = UUID.randomUUID().toString()
-        if (random.nextInt(REPEAT_ONE_IN) > 0) return tally.count(untilItRuns { writeOnce(fleet.any(random), key) })
-        tally.countRepeat()
-        val first = fleet.any(random)
-        val second = fleet.any(random, other = first)
+        if (random.nextInt(REPEAT_ONE_IN) > 0) return results.count(retryNotRun { writeOnce(fleet.pick(random), key) })
+        results.countDuplicateSend()
+        val first = fleet.pick(random)
+        val second = fleet.pick(random, excluded = first)
         coroutineScope {
-            val outcomes = listOf(first, second).map { entry -> async { untilItRuns { writeOnce(entry, key) } } }
-            outcomes.forEach { tally.count(it.await()) }
+            val outcomes = listOf(first, second).map { entry -> async { retryNotRun { writeOnce(entry, key) } } }
+            outcomes.forEach { results.count(it.await()) }
         }
     }
 
     private suspend fun writeOnce(
-        entry: EntryFleet.Entry,
+        entry: EntryFleet.EntryInstance,
         key: String,
-    ): ResultCode? = call(entry, plan.write, bodyOf(key), key)
+    ): ResultCode? = call(entry, plan.writeCall, requestBody(key), key)
 
-    private fun bodyOf(item: String) = buildJsonObject { put("item", JsonPrimitive(item)) }
+    private fun requestBody(item: String) = buildJsonObject { put("item", JsonPrimitive(item)) }
 
-    /** Repeats [attempt] while it is told that nothing ran. */
-    private suspend fun untilItRuns(attempt: suspend () -> ResultCode?): ResultCode? {
+    /** Retries [attempt] while its result says that the call did not run. */
+    private suspend fun retryNotRun(attempt: suspend () -> ResultCode?): ResultCode? {
         var code: ResultCode? = null
-        repeat(ATTEMPTS) {
+        repeat(MAXIMUM_ATTEMPTS) {
             code = attempt()
             if (code?.work != WorkState.NOT_RUN) return code
-            delay(RETRY_MILLIS)
+            delay(RETRY_DELAY_MILLIS)
         }
         return code
     }
 
     private suspend fun call(
-        entry: EntryFleet.Entry,
+        entry: EntryFleet.EntryInstance,
         name: String,
         body: JsonObject,
         key: String?,
     ): ResultCode? {
         val request = RequestId("${plan.name}-c-${UUID.randomUUID()}")
-        notes.record(HistoryEvent.CallStarted(notes.now(), request, key))
+        recorder.record(HistoryEvent.CallStarted(recorder.now(), request, key))
         val url = "${entry.url}/v1/services/${plan.plainDocument.service}/calls/$name"
         val answer = client.post(url, workspace, request.value, body, key)
-        val final = if (key != null && isOpen(answer)) awaitOutcome(name, key) ?: answer else answer
-        if (final == null) {
-            notes.record(HistoryEvent.CallLost(notes.now(), request))
+        val finalAnswer = if (key != null && isPending(answer)) awaitOutcome(name, key) ?: answer else answer
+        if (finalAnswer == null) {
+            recorder.record(HistoryEvent.CallLost(recorder.now(), request))
             return null
         }
-        val code = GenerationCaller.codeOf(final)
-        notes.record(HistoryEvent.CallEnded(notes.now(), request, code, final["answer"]?.toString()))
+        val code = GenerationCaller.codeOf(finalAnswer)
+        recorder.record(HistoryEvent.CallEnded(recorder.now(), request, code, finalAnswer["answer"]?.toString()))
         return code
     }
 
-    private fun isOpen(answer: JsonObject?) =
+    private fun isPending(answer: JsonObject?) =
         answer == null || GenerationCaller.codeOf(answer) == ResultCode.IN_PROGRESS
 
-    /** Asks for the recorded outcome until the first run with the key has ended; null if there is none. */
+    /** Polls the recorded outcome of the call with [key] until it is final. Returns null if it never is. */
     private suspend fun awaitOutcome(
         name: String,
         key: String,
     ): JsonObject? {
         repeat(OUTCOME_POLLS) {
-            val url = "${fleet.any(random).url}/v1/services/${plan.plainDocument.service}/calls/$name/outcomes/$key"
+            val url = "${fleet.pick(random).url}/v1/services/${plan.plainDocument.service}/calls/$name/outcomes/$key"
             val outcome = client.get(url, workspace, "${plan.name}-o-${UUID.randomUUID()}")
             if (outcome != null && isFinal(GenerationCaller.codeOf(outcome))) return outcome
-            delay(RETRY_MILLIS)
+            delay(RETRY_DELAY_MILLIS)
         }
         return null
     }
@@ -102,8 +106,8 @@
 
     private companion object {
         const val REPEAT_ONE_IN = 3
-        const val ATTEMPTS = 8
-        const val RETRY_MILLIS = 250L
+        const val MAXIMUM_ATTEMPTS = 8
+        const val RETRY_DELAY_MILLIS = 250L
         const val OUTCOME_POLLS = 30
     }
 }
--- a/cli/src/test/kotlin/io/sequoiawheel/cli/CommandLineTest.kt
+++ b/cli/src/test/kotlin/io/sequoiawheel/cli/CommandLineTest.kt
@@ -24,22 +24,22 @@
             .setErr(PrintWriter(err, true))
             .execute(*arguments)
 
-    /** Guards against a page that lags behind the codes that the program sends. */
+    /** Guards against a documentation page that is out of date with the result codes. */
     @Test
-    fun `the page of result codes is the generated one`() {
+    fun `the documentation page of result codes equals the generated table`() {
         val page = Files.readString(Path.of("..", "docs", "result-codes.md"))
         assertEquals(ResultCodeTable.markdown().trim(), page.trim())
     }
 
     @Test
-    fun `a missing command prints the usage and ends with the code of usage errors`() {
+    fun `a missing command prints the usage and returns the exit code of usage errors`() {
         assertEquals(ResultCode.USAGE.exitCode, run())
         assertTrue(err.toString().contains("Usage: sequoiawheel"))
     }
 
-    /** Guards against a rejected document that ends with success or hides its fault. */
+    /** Guards against a rejected document for which the exit code is 0 or the fault is not printed. */
     @Test
-    fun `an invalid document is refused with the path of its fault`(
+    fun `an invalid document is rejected with the path of its fault`(
         @TempDir directory: Path,
     ) {
         val file = directory.resolve("document.json")
@@ -48,7 +48,7 @@
         assertTrue(err.toString().contains("$.models"))
     }
 
-    /** Guards against a report that leaves out an empty list of violations, which readers would take for a fault. */
+    /** Guards against a report that omits an empty list of violations, which programs would read as a missing field. */
     @Test
     fun `an experiment reports its policies and its violations as JSON`() {
         assertEquals(0, run("experiment", "at-most-once", "--seed", "1", "--output", "json"))
--- a/cli/src/test/kotlin/io/sequoiawheel/cli/ProgramProcess.kt
+++ b/cli/src/test/kotlin/io/sequoiawheel/cli/ProgramProcess.kt
@@ -5,7 +5,7 @@
 import java.nio.file.Path
 import java.util.concurrent.TimeUnit
 
-/** The command line as a process of its own, with its output in files. */
+/** Runs the command line in a separate process and captures its output in files. */
 internal class ProgramProcess(
     directory: Path,
     name: String,
@@ -19,27 +19,27 @@
                 arguments,
         ).redirectOutput(output).redirectError(errors).start()
 
-    /** Waits until a line of standard output matches [pattern] and returns the match. */
+    /** Waits until standard output contains a match of [pattern] and returns it. */
     fun awaitLine(pattern: Regex): MatchResult {
-        val deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(STARTUP_SECONDS)
+        val deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS)
         while (System.nanoTime() < deadline) {
             pattern.find(output.readText())?.let { return it }
-            check(process.isAlive) { "the process ended with ${process.exitValue()}: ${errors.readText()}" }
+            check(process.isAlive) { "the process exited with ${process.exitValue()}: ${errors.readText()}" }
             Thread.sleep(POLL_MILLIS)
         }
-        error("no line like $pattern in ${output.readText()} ${errors.readText()}")
+        error("no match of $pattern in ${output.readText()} ${errors.readText()}")
     }
 
     /** Sends SIGTERM. */
     fun terminate() = process.destroy()
 
-    /** Waits for the end of the process and returns its exit code. */
+    /** Waits for the process to exit and returns its exit code. */
     fun awaitExit(): Int {
-        check(process.waitFor(STARTUP_SECONDS, TimeUnit.SECONDS)) { "the process did not end" }
+        check(process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) { "the process did not exit" }
         return process.exitValue()
     }
 
-    /** Returns what the process wrote to standard error. */
+    /** Returns the standard error of the process. */
     fun errorText(): String = Files.readString(errors.toPath())
 
     override fun close() {
@@ -47,7 +47,7 @@
     }
 
     private companion object {
-        const val STARTUP_SECONDS = 60L
+        const val TIMEOUT_SECONDS = 60L
         const val POLL_MILLIS = 100L
         val java: String = Path.of(System.getProperty("java.home"), "bin", "java").toString()
     }
--- a/cli/src/test/kotlin/io/sequoiawheel/cli/RealProcessTest.kt
+++ b/cli/src/test/kotlin/io/sequoiawheel/cli/RealProcessTest.kt
@@ -19,7 +19,7 @@
 
     private val http = HttpClient.newHttpClient()
 
-    private fun file(
+    private fun write(
         name: String,
         text: String,
     ): String = Files.writeString(directory.resolve(name), text).toString()
@@ -41,40 +41,40 @@
             .POST(HttpRequest.BodyPublishers.ofString(body))
             .build()
 
-    /** Guards against a daemon that starts with a misspelt setting and its default. */
+    /** Guards against a daemon that ignores a misspelt setting and starts with the default. */
     @Test
-    fun `a bad settings file ends the program with its code and the path of the field`() {
-        val bad = settings(List(3) { "http://127.0.0.1:1" }).replace("\"zone\"", "\"zoen\"")
-        ProgramProcess(directory, "bad", "daemon", "--settings", file("bad.json", bad)).use { program ->
+    fun `an invalid settings file ends the program with its result code and the path of the field`() {
+        val invalid = settings(List(3) { "http://127.0.0.1:1" }).replace("\"zone\"", "\"zoen\"")
+        ProgramProcess(directory, "bad", "daemon", "--settings", write("bad.json", invalid)).use { program ->
             assertEquals(ResultCode.INVALID_SETTINGS.exitCode, program.awaitExit())
             assertTrue(program.errorText().contains("6001 INVALID_SETTINGS"))
             assertTrue(program.errorText().contains("$.zoen"))
         }
     }
 
-    /** Guards against a shutdown that cuts off an open stream or does not end with success. */
+    /** Guards against a shutdown that cuts off an open stream or exits with a code other than 0. */
     @Test
-    fun `SIGTERM in the middle of a stream cuts nothing off and ends with success`() {
-        ProgramProcess(directory, "stand-ins", "stand-ins", "--settings", file("s.json", STAND_INS)).use { stands ->
-            stands.awaitLine(Regex("ready"))
+    fun `after SIGTERM during a stream the daemon completes the stream and exits with 0`() {
+        ProgramProcess(directory, "stand-ins", "stand-ins", "--settings", write("s.json", STAND_INS)).use { standIns ->
+            standIns.awaitLine(Regex("ready"))
             val platform =
                 listOf("object store", "instance list", "weight store").map {
-                    stands.awaitLine(Regex("$it (\\S+)")).groupValues[1]
+                    standIns.awaitLine(Regex("$it (\\S+)")).groupValues[1]
                 }
             val document = """{"service":"writers","kind":"modelEngine","author":"a","models":[{"name":"letters"}]}"""
-            val put = arrayOf("document", "put", file("w.json", document), "--platform", platform[0])
+            val put = arrayOf("document", "put", write("w.json", document), "--platform", platform[0])
             ProgramProcess(directory, "put", *put).use { assertEquals(0, it.awaitExit()) }
-            val daemonSettings = file("d.json", settings(platform))
+            val daemonSettings = write("d.json", settings(platform))
             ProgramProcess(directory, "daemon", "daemon", "--settings", daemonSettings).use { daemon ->
                 val address = daemon.awaitLine(Regex("listens on (\\S+)")).groupValues[1]
                 awaitServing(address)
-                streamAcrossTermination(daemon, address)
+                terminateDuringStream(daemon, address)
                 assertEquals(0, daemon.awaitExit())
             }
         }
     }
 
-    // The document is accepted and the engine is listed some time after the daemon has started.
+    // The document is accepted and the engine is listed only some time after the daemon has started.
     private fun awaitServing(address: String) {
         val body = """{"model":"letters","prompt":"short","maxTokens":1,"delivery":"whole"}"""
         val probe = request("$address/v1/services/writers/generations", body)
@@ -82,10 +82,10 @@
             if (http.send(probe, HttpResponse.BodyHandlers.ofString()).statusCode() == 200) return
             Thread.sleep(100)
         }
-        error("the daemon did not serve")
+        error("the daemon did not answer with status 200")
     }
 
-    private fun streamAcrossTermination(
+    private fun terminateDuringStream(
         daemon: ProgramProcess,
         address: String,
     ) {
@@ -95,16 +95,16 @@
         assertEquals(200, response.statusCode())
         val lines = response.body().iterator()
         val offsets = mutableListOf<Int>()
-        var last = ""
+        var lastData = ""
         while (lines.hasNext()) {
             val line = lines.next()
             if (line.startsWith("id: ")) offsets += line.removePrefix("id: ").toInt()
-            if (line.startsWith("data: ")) last = line
+            if (line.startsWith("data: ")) lastData = line
             if (line == "id: 5") daemon.terminate()
         }
-        assertTrue(offsets.size > 6, "the stream ended with the termination")
+        assertTrue(offsets.size > 6, "the stream ended when the daemon was terminated")
         assertEquals(offsets.indices.toList(), offsets)
-        assertEquals("""data: {"code":1000,"tokens":${offsets.size}}""", last)
+        assertEquals("""data: {"code":1000,"tokens":${offsets.size}}""", lastData)
     }
 
     private companion object {
--- a/cli/src/test/kotlin/io/sequoiawheel/cli/demo/DemoPlanTest.kt
+++ b/cli/src/test/kotlin/io/sequoiawheel/cli/demo/DemoPlanTest.kt
@@ -8,21 +8,21 @@
 class DemoPlanTest {
     private val plans = listOf(DemoPlan.kelani, DemoPlan.manjadi)
 
-    /** Guards against a demo that stops at its start because the deployments' documents are not accepted. */
+    /** Guards against a demo that fails at its start because a service document is rejected. */
     @Test
-    fun `the documents are valid`() =
+    fun `the service documents of both deployments are valid`() =
         plans.flatMap { listOf(it.engineDocument, it.plainDocument) }.forEach { document ->
             assertEquals(emptyList<Any>(), DocumentValidator.validate(document))
         }
 
-    /** Guards against a demo that shows nothing because a failing engine is in the zone that is out of service. */
+    /** Guards against a failure that affects no request because its engine is in the zone that is out of service. */
     @Test
-    fun `the dying and the leaving engine differ and stay in zones that serve`() =
+    fun `the failing and the leaving engine differ and are in zones that stay in service`() =
         plans.forEach { plan ->
-            assertNotEquals(plan.dyingEngine, plan.leavingEngine)
+            assertNotEquals(plan.failingEngine, plan.leavingEngine)
             val zones =
                 plan.standIns.backends
-                    .filter { it.id == plan.dyingEngine || it.id == plan.leavingEngine }
+                    .filter { it.id == plan.failingEngine || it.id == plan.leavingEngine }
                     .map { it.zone }
             assertEquals(2, zones.size)
             assertEquals(emptyList<Any>(), zones.filter { it == plan.changedZone })
