--- a/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DeploymentRun.kt
+++ b/cli/src/main/kotlin/io/sequoiawheel/cli/demo/DeploymentRun.kt
@@ -155,8 +155,13 @@
             PlainServiceFaults(listOf(AnswerFault.CROSSED, AnswerFault.MISMATCHED), plan.lookupCall),
             now,
         )
-        services[2].model.applyFaults(PlainServiceFaults(listOf(AnswerFault.REFUSED, AnswerFault.LATE), plan.writeCall), now)
-        checkNotNull(standIns.objectStore).applyFaults(StoreFaults(lostAnswerProbability = LOST_STORE_RESPONSE_PROBABILITY))
+        services[2].model.applyFaults(
+            PlainServiceFaults(listOf(AnswerFault.REFUSED, AnswerFault.LATE), plan.writeCall),
+            now,
+        )
+        checkNotNull(
+            standIns.objectStore,
+        ).applyFaults(StoreFaults(lostAnswerProbability = LOST_STORE_RESPONSE_PROBABILITY))
         recorder.progress(
             "plain services lose, swap and reject responses; the object store loses 1 in 50 write responses",
         )
