--- a/core/src/main/kotlin/io/sequoiawheel/core/history/internal/ConfigurationCheck.kt
+++ b/core/src/main/kotlin/io/sequoiawheel/core/history/internal/ConfigurationCheck.kt
@@ -71,7 +71,7 @@
         val entry = entries.getOrPut(event.entry) { Entry(null) }
         val before = entry.generations[event.service] ?: 0
         findings.record(Promise.P9, event.generation > before) {
-            "${event.entry} reverted from generation $before to ${event.generation} of ${event.service}"
+            "${event.entry} went back from generation $before to ${event.generation} of ${event.service}"
         }
         findings.record(Promise.P9, accepted[event.service]?.containsKey(event.generation) == true) {
             "${event.entry} applied generation ${event.generation} of ${event.service}, which was not accepted"
@@ -103,7 +103,7 @@
         if (connectedSince > next.sinceMillis) return
         val generation = entry.generations[next.service] ?: 0
         findings.record(Promise.P9, generation >= next.generation) {
-            "$name had generation $generation of ${next.service} at $deadline ms, but ${next.generation} was expected"
+            "$name had generation $generation of ${next.service} at $deadline ms, when ${next.generation} was due"
         }
     }
 
